--- a/cmd/croftlock-experiment/main.go
+++ b/cmd/croftlock-experiment/main.go
@@ -1,5 +1,5 @@
-// Command croftlock-experiment runs croftlock's experiments: real processes against fakes on loopback. It is never part of a
-// proxy's service.
+// Command croftlock-experiment runs croftlock's experiments, with real processes against fakes on
+// the loopback interface. It is for testing only and is not part of a proxy's service.
 package main
 
 import (
@@ -22,7 +22,8 @@
 	os.Exit(experiment.Main(os.Args[1:], soak.Command()))
 }
 
-// runWithFault runs the program itself, with a fault that an experiment has to find.
+// runWithFault runs croftlock in this process with the injected fault name, which an experiment
+// must detect. It returns the exit status.
 func runWithFault(name string) (status int) {
 	faults, err := owneragent.ParseFaultInjection(name)
 	if err != nil {
--- a/cmd/croftlock-simulator-adapter/main.go
+++ b/cmd/croftlock-simulator-adapter/main.go
@@ -1,5 +1,6 @@
-// Command croftlock-simulator-adapter hosts decision modules on the simulator's wire: batches of events on standard input, one reply a
-// line on standard output.
+// Command croftlock-simulator-adapter runs decision modules for the simulator. It reads batches of
+// events from standard input, one per line, and writes one line of reply for each to standard
+// output.
 package main
 
 import (
@@ -13,7 +14,8 @@
 	"croftlock/internal/testbed/simulator"
 )
 
-// bufferBytes holds most batches and replies whole.
+// bufferBytes is the size of the input and output buffers, which hold most batches and replies as a
+// whole.
 const bufferBytes = 1 << 20
 
 func main() {
@@ -23,7 +25,8 @@
 	}
 }
 
-// serve answers each batch with one line, until the input ends or a batch is invalid.
+// serve writes one line of reply for each batch in the input. It returns nil at the end of the
+// input, and an error if a batch is invalid or reading or writing fails.
 func serve(in io.Reader, out io.Writer) error {
 	adapter := simulator.NewAdapter(balancer.New)
 	r := bufio.NewReaderSize(in, bufferBytes)
--- a/cmd/croftlock-voter/main.go
+++ b/cmd/croftlock-voter/main.go
@@ -1,5 +1,6 @@
-// Command croftlock-voter is croftlock with replicas that store their votes on a disk: (owners (dir ...)). It is a program of its own to
-// keep the library of that store out of croftlock.
+// Command croftlock-voter is croftlock with replicas that store their votes on disk, as the setting
+// (owners (dir ...)) requires. It is a separate program to keep the library for that store out of
+// croftlock.
 package main
 
 import (
--- a/cmd/croftlock/main.go
+++ b/cmd/croftlock/main.go
@@ -1,5 +1,7 @@
-// Command croftlock is one proxy: it takes clients' connections, places each at an upstream host as the decision
-// module says, and carries its lines until it ends. Its sub-commands check configurations and make certificates.
+// Command croftlock is a proxy for long-lived connections. It accepts clients' connections, places
+// each at an upstream host that the decision module selects, and relays its lines until it ends.
+// Its sub-commands check configurations, make certificates, and query and change the fleet of a
+// running proxy.
 package main
 
 import (
--- a/internal/app/command/attempts_test.go
+++ b/internal/app/command/attempts_test.go
@@ -14,7 +14,8 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// keyFile writes a new Ed25519 key and returns its path, and the public key as a grant names it.
+// keyFile writes a new Ed25519 key and returns its path and its public key in the form that a grant
+// contains.
 func keyFile(t *testing.T) (path, public string) {
 	t.Helper()
 	pub, key, err := ed25519.GenerateKey(nil)
@@ -32,7 +33,8 @@
 	return path, base64.StdEncoding.EncodeToString(pub)
 }
 
-// attempt is an attempt in a process's log: for which customer, at which host, by which version of the rules.
+// attempt is an upstream request in a process's log, with the account that it was for, its host and
+// the rules version that decided on it.
 type attempt struct {
 	at            time.Time
 	account, host string
@@ -41,8 +43,8 @@
 
 var logField = regexp.MustCompile(`(\w+)=("[^"]*"|\S*)`)
 
-// attempts reads the attempts of a process's log. An attempt's account and version are those of the request's last decision before it, which is
-// made right before its connection is opened.
+// attempts returns the attempts in a process's log. An attempt's account and version are those of
+// the request's last decision before it, which is made right before the connection is opened.
 func attempts(t *testing.T, p *experiment.Process) (all []attempt) {
 	t.Helper()
 	account, version := map[string]string{}, map[string]string{} // by request
@@ -62,7 +64,8 @@
 	return all
 }
 
-// reassignmentTimes returns, of the attempts at a host, the time of the last for one account and of the first for another.
+// reassignmentTimes returns when the last attempt at a host was made for the account from, and the
+// first one for the account to. A time is zero if there is no such attempt.
 func reassignmentTimes(all []attempt, host, from, to string) (last, first time.Time) {
 	for _, a := range all {
 		if a.host != host {
--- a/internal/app/command/certs.go
+++ b/internal/app/command/certs.go
@@ -15,22 +15,24 @@
 	"croftlock/internal/operations/settings"
 )
 
-// certCommands make and inspect certificates, for installations without a certificate service of their own.
+// certCommands returns the commands that make, inspect and verify certificates, for installations
+// without a certificate service of their own.
 func certCommands() *cobra.Command {
 	group := &cobra.Command{Use: "certs", Short: "Make and look into certificates"}
 	group.AddCommand(caCommand(), issueCommand(), inspectCommand(), verifyCommand())
 	return group
 }
 
-// newCertificate holds the flags of the commands that make a certificate.
+// newCertificate holds the values of the flags of a command that makes a certificate.
 type newCertificate struct {
-	certPath, keyPath string // paths that are written
-	passwordFile      string // path; "": the key is not encrypted
+	certPath, keyPath string // output files
+	passwordFile      string // path; if empty, the key is not encrypted
 	kind, lifetime    string
-	force             bool // existing files are replaced
+	force             bool // replace existing files
 }
 
-// addFlags adds the flags to a command, with its defaults.
+// addFlags adds the flags to cmd. By default the files are name.pem and name.key, and the
+// certificate is valid for lifetime, such as "90d".
 func (n *newCertificate) addFlags(cmd *cobra.Command, name, lifetime string) {
 	f := cmd.Flags()
 	f.StringVar(&n.certPath, "out", name+".pem", "file of the certificate")
@@ -41,7 +43,8 @@
 	f.BoolVar(&n.force, "force", false, "replace files that exist")
 }
 
-// issue makes the certificate and its key, and writes both. issuer is nil for an authority.
+// issue makes a certificate and its key and writes both. If issuer is nil, the certificate is
+// self-signed, as an authority's is.
 func (n *newCertificate) issue(issuer *certs.Pair, spec certs.Spec) (*certs.Pair, error) {
 	lifetime, ok := settings.ParseDuration(n.lifetime)
 	if !ok || lifetime <= 0 {
@@ -53,7 +56,8 @@
 	now := time.Now()
 	spec.Key, spec.NotBefore, spec.NotAfter = n.kind, now.Add(-time.Minute), now.Add(lifetime)
 	if issuer != nil && spec.NotAfter.After(issuer.Cert.NotAfter) {
-		return nil, fmt.Errorf("it would outlive its issuer, which ends %s", issuer.Cert.NotAfter.UTC().Format(time.RFC3339))
+		return nil, fmt.Errorf("the certificate would end %s and outlive its issuer, which ends %s",
+			spec.NotAfter.UTC().Format(time.RFC3339), issuer.Cert.NotAfter.UTC().Format(time.RFC3339))
 	}
 	for _, path := range []string{n.certPath, n.keyPath} {
 		if _, err := os.Stat(path); err == nil && !n.force {
@@ -71,7 +75,7 @@
 	return pair, pair.Save(n.certPath, n.keyPath, password)
 }
 
-// password reads the password of the new key; nil: the key is not encrypted.
+// password reads the password for the new key. It returns nil if the key is not to be encrypted.
 func (n *newCertificate) password() ([]byte, error) {
 	if n.passwordFile == "" {
 		return nil, nil
@@ -158,7 +162,7 @@
 		}}
 }
 
-// loadBundle reads the certificates of a PEM file.
+// loadBundle reads the certificates in a PEM file.
 func loadBundle(path string) ([]*x509.Certificate, error) {
 	data, err := certs.ReadFile(path)
 	if err != nil {
--- a/internal/app/command/certs_test.go
+++ b/internal/app/command/certs_test.go
@@ -7,23 +7,23 @@
 	"testing"
 )
 
-// commandTest runs commands on files in a folder of its own.
+// commandTest runs commands on files in a directory of its own.
 type commandTest struct {
 	*testing.T
 	dir string
 }
 
-// path is the path of a file in the folder.
+// path returns the path of a file in the directory.
 func (c *commandTest) path(name string) string { return filepath.Join(c.dir, name) }
 
-// write writes a settings file, and returns its path.
+// write writes the settings file a.sexp and returns its path.
 func (c *commandTest) write(text string) string {
 	c.Helper()
 	writeFile(c.T, c.path("a.sexp"), text)
 	return c.path("a.sexp")
 }
 
-// succeeds runs a command that has to succeed, with a text in its output.
+// succeeds checks that a command succeeds and that its output contains want.
 func (c *commandTest) succeeds(want string, args ...string) {
 	c.Helper()
 	if out, status := command(c.T, args...); status != 0 || !strings.Contains(out, want) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// fails runs a command that has to fail, with a text in its output.
+// fails checks that a command fails and that its output contains want.
 func (c *commandTest) fails(want string, args ...string) {
 	c.Helper()
 	if out, status := command(c.T, args...); status == 0 || !strings.Contains(out, want) {
@@ -39,8 +39,9 @@
 	}
 }
 
-// TestCertificatesAndCheck: an operator without a certificate service makes an authority and certificates, and checks the settings that name them. Each
-// wrong step is an error.
+// TestCertificatesAndCheck checks the commands with which an operator without a certificate service
+// makes an authority and certificates and checks the settings that name them. Each wrong step must
+// be an error.
 func TestCertificatesAndCheck(t *testing.T) {
 	c := &commandTest{T: t, dir: t.TempDir()}
 	c.makeCertificates()
@@ -95,7 +96,7 @@
 	c.checkFile("(log") // an invalid file is not changed
 }
 
-// checkFile checks the text of the settings file.
+// checkFile checks the contents of the settings file.
 func (c *commandTest) checkFile(want string) {
 	c.Helper()
 	if data, err := os.ReadFile(c.path("a.sexp")); err != nil || string(data) != want {
--- a/internal/app/command/clients_test.go
+++ b/internal/app/command/clients_test.go
@@ -10,13 +10,13 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// asProgram is the environment in which the test's own binary runs as the program.
+// asProgram is the environment that makes the test's own binary run as the program (TestMain).
 var asProgram = []string{"CROFTLOCK_TEST_RUN=1"}
 
-// sealKey seals the datagrams between the processes of a rig.
+// sealKey is the key that seals the datagrams between the processes of a rig.
 const sealKey = "0123456789abcdef0123456789abcdef"
 
-// newHosts starts upstream hosts with a discovery, in one zone.
+// newHosts starts upstream hosts in one zone, and a discovery service that lists them.
 func newHosts(t testing.TB, zone string, ids ...string) *fake.Hosts {
 	t.Helper()
 	hosts, err := fake.NewHosts(zone, ids...)
@@ -27,33 +27,35 @@
 	return hosts
 }
 
-// openClient opens a connection that has to be served, and closes it at the test's end.
+// openClient opens a connection, which must be served. It is closed at the test's end.
 func openClient(t testing.TB, proxy string, wait time.Duration) *fake.Client {
 	t.Helper()
 	client, answer, err := fake.Open(proxy, "lab", "", wait)
 	if client == nil {
-		t.Fatalf("a request is answered with %q, error %v; want UP", answer.Text, err)
+		t.Fatalf("a request to %s is answered with %q, error %v; want UP", proxy, answer.Text, err)
 	}
 	t.Cleanup(client.Close)
 	return client
 }
 
-// eventually waits until a condition holds; what says what it is.
+// eventually waits until holds returns true. A failure message contains condition, which describes
+// it.
 func eventually(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
 	if _, ok := experiment.AwaitCondition(recoveryTimeout, holds); !ok {
-		t.Fatalf("not within %v: %s", recoveryTimeout, condition)
+		t.Fatalf("not reached within %v: %s", recoveryTimeout, condition)
 	}
 }
 
-// processLoop sends requests to every process of a rig all the time.
+// processLoop sends requests to every process of a rig until it is stopped.
 type processLoop struct {
-	paused   []atomic.Bool // by process: it is not expected to answer, and gets no requests
+	paused   []atomic.Bool // by process; a paused one gets no requests and need not answer
 	stopping atomic.Bool
 	workers  sync.WaitGroup
 }
 
-// start calls request for every process, again and again, with the interval of that process after each call. The test's end stops it.
+// start calls request repeatedly for every process, and waits for that process's interval after
+// each call. n counts the process's calls from 0. The test's end stops the loop.
 func (l *processLoop) start(t *testing.T, rig *experiment.Rig, interval func(process int) time.Duration, request func(process, n int)) {
 	t.Helper()
 	l.paused = make([]atomic.Bool, len(rig.Procs))
@@ -72,25 +74,26 @@
 	t.Cleanup(l.stop)
 }
 
-// stop ends the requests.
+// stop stops the loop and waits for the requests in progress. It may be called repeatedly.
 func (l *processLoop) stop() {
 	l.stopping.Store(true)
 	l.workers.Wait()
 }
 
-// sameInterval is the same interval at all processes.
+// sameInterval returns a function that returns interval for every process.
 func sameInterval(interval time.Duration) func(process int) time.Duration {
 	return func(int) time.Duration { return interval }
 }
 
-// clientLoop opens connections at every process of a rig all the time, and closes each at once.
+// clientLoop repeatedly opens a connection at every process of a rig and closes it at once.
 type clientLoop struct {
 	processLoop
 	served     atomic.Int64
 	unanswered atomic.Int64
 }
 
-// startClientLoop starts the clients. Each waits for the interval after its request; extra is added to the request line of the nth request.
+// startClientLoop starts one client for each process, which waits for interval after each request.
+// extra returns a text to add to the request line of a process's nth request.
 func startClientLoop(t *testing.T, rig *experiment.Rig, interval time.Duration, extra func(n int) string) *clientLoop {
 	t.Helper()
 	loop := &clientLoop{}
@@ -100,7 +103,8 @@
 	return loop
 }
 
-// request sends one request and counts its outcome. A process that is paused meanwhile need not answer.
+// request sends one request and counts its outcome. A missing answer is not counted if the process
+// is paused by then.
 func (l *clientLoop) request(proxy, extra string, paused *atomic.Bool) {
 	client, answer, _ := fake.Open(proxy, "lab", extra, 400*time.Millisecond)
 	if client != nil {
@@ -112,7 +116,8 @@
 	}
 }
 
-// check stops the clients and reports unanswered requests, and too few served ones.
+// check stops the clients. It reports an error if a request was not answered or fewer than
+// minServed were served.
 func (l *clientLoop) check(t *testing.T, minServed int64) {
 	t.Helper()
 	l.stop()
--- a/internal/app/command/command.go
+++ b/internal/app/command/command.go
@@ -1,4 +1,5 @@
-// Package command is croftlock's command line. Names, flags, texts and exit statuses are recorded in testdata.
+// Package command implements croftlock's command line. Golden files in testdata record the names,
+// flags, texts and exit statuses of the commands.
 package command
 
 import (
@@ -18,7 +19,8 @@
 	"croftlock/internal/operations/settings"
 )
 
-// New makes the command line. Without a sub-command it serves. env reads the environment.
+// New returns the root command, which serves if no sub-command is given. env returns the value of
+// an environment variable, as os.Getenv does.
 func New(env func(string) string) *cobra.Command {
 	c := &commands{env: env}
 	root := &cobra.Command{
@@ -48,7 +50,7 @@
 	return root
 }
 
-// Run runs the command line and returns the exit status.
+// Run runs the command line args and returns the exit status. It prints an error to standard error.
 func Run(args []string, env func(string) string) int {
 	root := New(env)
 	root.SetArgs(args)
@@ -59,11 +61,11 @@
 	return 0
 }
 
-// commands holds the persistent flags.
+// commands holds the environment and the flags that all commands share.
 type commands struct {
 	env          func(string) string
-	settingsPath string // "": all settings have their defaults
-	logFormat    string // "": the settings file's
+	settingsPath string // if empty, all settings have their defaults
+	logFormat    string // if empty, the settings file specifies the format
 }
 
 // serve runs the proxy until it has shut down.
@@ -71,7 +73,7 @@
 	if c.logFormat != "" && !slices.Contains(logging.Formats, c.logFormat) {
 		return fmt.Errorf("--log-format %q: %s expected", c.logFormat, strings.Join(logging.Formats, " or "))
 	}
-	signals := node.Signals() // before the files are read: a SIGHUP would end the process
+	signals := node.Signals() // before the files are read: until this call a SIGHUP ends the process
 	cfg, err := platform.Load(c.env)
 	if err != nil {
 		return err
@@ -83,7 +85,8 @@
 	return node.Run(cfg, file, c.logFormat, signals)
 }
 
-// check prints every fault of the platform's configuration and of the settings file. It fails if there is any.
+// check prints every fault of the platform's configuration and of the settings file. It returns an
+// error if there is any.
 func (c *commands) check(cmd *cobra.Command, _ []string) error {
 	faults := 0
 	report := func(err error) {
@@ -144,7 +147,8 @@
 	return group
 }
 
-// formatFile prints the file in its canonical form, or with write replaces it. A path "-" reads standard input.
+// formatFile prints a settings file in its canonical form, or replaces the file if write is true. A
+// path of "-" reads standard input, and always prints.
 func formatFile(cmd *cobra.Command, path string, write bool) error {
 	var data []byte
 	var err error
--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -17,17 +17,18 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// fleetClient sends requests to a running proxy, over the Unix sockets that the settings file names.
+// fleetClient sends requests to a running proxy over the Unix sockets that the settings file names.
 type fleetClient struct {
 	commands *commands
-	socket   string // in place of the settings file's; "": that one
-	asJSON   bool
+	socket   string // overrides the settings file's socket unless empty
+	asJSON   bool   // print replies as JSON
 }
 
-// printReply prints a reply; nil: the answer is printed as text.
+// printReply prints a reply to w. A nil printReply stands for printing the answer as text.
 type printReply func(w io.Writer, r owneragent.Reply) error
 
-// fleetCommands are the commands that ask a running proxy about the fleet.
+// fleetCommands returns the commands that query a running proxy about the fleet or change the
+// fleet.
 func (c *commands) fleetCommands() []*cobra.Command {
 	f := &fleetClient{commands: c}
 	all := []*cobra.Command{f.ownersCommand(), f.groupCommand(), f.fleetCommand(), f.membersCommand(), f.rulesCommand()}
@@ -38,7 +39,8 @@
 	return all
 }
 
-// socketPath is the path of the socket of a settings section, owners or membership.
+// socketPath returns the path of the socket for a section of the settings file, "owners" or
+// "membership". It returns an error if neither --socket nor the section names one.
 func (f *fleetClient) socketPath(section string) (string, error) {
 	if f.socket != "" {
 		return f.socket, nil
@@ -57,7 +59,9 @@
 	return path, nil
 }
 
-// send sends a request to the owner agent and prints the reply. An answer by which the request was not carried out is an error.
+// send sends a request to the owner agent and prints the reply with show, or the answer as text if
+// show is nil. As text, an answer that the request was rejected or that its outcome is unknown is
+// an error, too.
 func (f *fleetClient) send(cmd *cobra.Command, request owneragent.Request, show printReply) error {
 	socket, err := f.socketPath("owners")
 	if err != nil {
@@ -83,10 +87,11 @@
 	return nil
 }
 
-// errNotDone is the error of a command whose request was rejected, or whose outcome is unknown.
+// errNotDone is returned if a request was rejected or its outcome is unknown.
 var errNotDone = errors.New("it was not done, or nobody knows")
 
-// withArguments sends a request with the command line's one or two arguments.
+// withArguments returns a function for cobra that sends the request name with the command line's
+// one or two arguments.
 func (f *fleetClient) withArguments(name string) func(cmd *cobra.Command, args []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		request := owneragent.Request{Command: name, Argument: args[0]}
@@ -97,7 +102,8 @@
 	}
 }
 
-// withoutArguments sends a request that has none.
+// withoutArguments returns a function for cobra that sends the request name without arguments. See
+// send for show.
 func (f *fleetClient) withoutArguments(name string, show printReply) func(cmd *cobra.Command, args []string) error {
 	return func(cmd *cobra.Command, _ []string) error {
 		return f.send(cmd, owneragent.Request{Command: name}, show)
@@ -154,7 +160,8 @@
 		}}
 }
 
-// printOwners prints the owners of all jobs, as a replica knows them; another proxy knows its own jobs alone.
+// printOwners prints the owners of all jobs if the replying proxy has a replica, and otherwise the
+// proxy's own jobs, which are all that it knows.
 func printOwners(w io.Writer, r owneragent.Reply) error {
 	fmt.Fprintf(w, "%s  coordinator %s  lease left %d ms\n", r.Name, orDash(r.Leader), r.LeaseMS)
 	if r.Store != "" {
@@ -176,7 +183,7 @@
 	return t.Flush()
 }
 
-// printGroup prints the replicated group as this proxy sees it.
+// printGroup prints the replicated group in the view of the replying proxy.
 func printGroup(w io.Writer, r owneragent.Reply) error {
 	if r.Store != "" {
 		fmt.Fprintf(w, "%s: the store can't be used: %s\n", r.Name, r.Store)
@@ -198,7 +205,7 @@
 	return t.Flush()
 }
 
-// orDash stands for what is empty in a table.
+// orDash returns s, or a dash if s is empty.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
--- a/internal/app/command/golden_test.go
+++ b/internal/app/command/golden_test.go
@@ -12,7 +12,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// transcript is a command's output with its exit status, without the paths that depend on where the test runs.
+// transcript runs a command and returns its output and exit status. The checkout's path, which
+// depends on where the test runs, is replaced.
 func transcript(t *testing.T, args ...string) string {
 	t.Helper()
 	out, status := command(t, args...)
@@ -23,10 +24,10 @@
 	root := filepath.Dir(filepath.Dir(filepath.Dir(here)))
 	out = strings.ReplaceAll(out, root, "ROOT")
 	text := fmt.Sprintf("$ croftlock %s\n%s\nexit status %d\n\n", strings.Join(args, " "), strings.TrimRight(out, "\n"), status)
-	return strings.ReplaceAll(text, "../../../deploy", "../../deploy") // as seen from where it was recorded
+	return strings.ReplaceAll(text, "../../../deploy", "../../deploy") // the golden files contain this relative path
 }
 
-// TestRecordedHelp: the name, the flags and the texts of each command are as recorded.
+// TestRecordedHelp compares the name, flags and help text of every command with a golden file.
 func TestRecordedHelp(t *testing.T) {
 	var all strings.Builder
 	var visit func(c *cobra.Command, path []string)
@@ -40,11 +41,12 @@
 	golden.Check(t, "help.txt", []byte(all.String()))
 }
 
-// TestRecordedSettings: the output of check, settings show and settings fmt for the examples is as recorded.
+// TestRecordedSettings compares the output of check, settings show and settings fmt for the example
+// files with a golden file.
 func TestRecordedSettings(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/examples/*.sexp")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d examples, %v", len(files), err)
+		t.Fatalf("%d example settings files found, error %v; want 1 or more", len(files), err)
 	}
 	var all strings.Builder
 	all.WriteString(transcript(t, "settings", "show"))
@@ -56,7 +58,8 @@
 	golden.Check(t, "settings.txt", []byte(all.String()))
 }
 
-// TestRecordedFaults: the faults that check prints for invalid settings files are as recorded.
+// TestRecordedFaults compares the faults that check prints for invalid settings files with a golden
+// file.
 func TestRecordedFaults(t *testing.T) {
 	var all strings.Builder
 	for _, text := range []string{"(log", "(log (level loud))", "(nothing)", `(tls (min-version "1.1") (servers perhaps))`, "(membership (on on) (period -1))", "(owners (on on))", "(floors (on on))",
--- a/internal/app/command/hotrestart_test.go
+++ b/internal/app/command/hotrestart_test.go
@@ -10,7 +10,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// hotRestartTest is one proxy with hosts s0 and s1, whose processes replace one another at one address.
+// hotRestartTest is a proxy with the hosts s0 and s1, whose processes replace one another at one
+// address.
 type hotRestartTest struct {
 	*testing.T
 	env   *experiment.Env
@@ -29,7 +30,8 @@
 			Deadline: 4800 * time.Millisecond, Env: asProgram}}
 }
 
-// start starts a process with an admin interface of its own.
+// start starts a process with an admin interface of its own, and returns the address of that
+// interface.
 func (h *hotRestartTest) start() (p *experiment.Process, admin string, err error) {
 	setup := h.setup
 	if setup.Admin, err = experiment.FreeAddr(); err == nil {
@@ -38,7 +40,8 @@
 	return p, setup.Admin, err
 }
 
-// startReady starts a process and waits until it is ready.
+// startReady starts a process and waits until it is ready. It returns the address of its admin
+// interface, too.
 func (h *hotRestartTest) startReady() (*experiment.Process, string) {
 	h.Helper()
 	p, admin, err := h.start()
@@ -52,7 +55,8 @@
 	return p, admin
 }
 
-// call calls the admin interface, and returns the body if the status is the wanted one.
+// call sends a request to the admin interface, checks that the status is want, and returns the
+// body.
 func (h *hotRestartTest) call(admin, method, path string, want int) string {
 	h.Helper()
 	status, body, _, err := experiment.CallAdmin(admin, method, path)
@@ -62,13 +66,14 @@
 	return body
 }
 
-// open opens a connection that has to be served.
+// open opens a connection, which must be served.
 func (h *hotRestartTest) open() *fake.Client {
 	h.Helper()
 	return openClient(h, h.setup.Listen, 4*time.Second)
 }
 
-// checkConnection exchanges a line on a connection, which must not be migrated.
+// checkConnection checks that a line on a connection is answered and that the connection is not
+// migrated.
 func (h *hotRestartTest) checkConnection(c *fake.Client, text string) {
 	h.Helper()
 	if _, migrated, err := c.Exchange(text, 10*time.Second); migrated || err != nil {
@@ -76,8 +81,9 @@
 	}
 }
 
-// TestHotRestart: through hot restarts established connections and suspensions stay, the death of a new process leaves the old one serving,
-// and a third process is rejected while two run.
+// TestHotRestart checks that established connections and suspensions survive hot restarts, that the
+// old process serves again if the new one is killed, and that a third process is rejected while two
+// run.
 func TestHotRestart(t *testing.T) {
 	h := newHotRestartTest(t)
 	first, admin := h.startReady()
@@ -97,7 +103,7 @@
 		t.Errorf("metrics of the new process, want targets=2, targets_disabled=1 and replies.lab.success=0:\n%s", body)
 	}
 
-	// The serving process is killed: the next one starts from the stored state.
+	// The serving process is killed, and the next one starts with the stored state.
 	h.call(admin, "POST", "/v1/catalogue-servers/s1/suspend", 200)
 	serving.Kill()
 	_, admin = h.startReady()
@@ -108,8 +114,8 @@
 	h.open()
 }
 
-// killSuccessor: a new process takes over from the one that serves, a third one is rejected meanwhile, and the new one is killed. The old one serves
-// again.
+// killSuccessor starts a new process that takes over from old, checks that a third one is rejected
+// meanwhile, and kills the new one. The old one must serve again.
 func (h *hotRestartTest) killSuccessor(old *experiment.Process, oldAdmin string) {
 	h.Helper()
 	successor, _ := h.startReady()
@@ -119,7 +125,7 @@
 	}
 	successor.Kill()
 	if !old.AwaitLog("event=hot_restart_taken_back", 20*time.Second) {
-		h.Fatal("the old process does not take back within 20 s")
+		h.Fatal("the old process does not log event=hot_restart_taken_back within 20 s")
 	}
 	h.call(oldAdmin, "GET", "/v1/readyz", 200)
 	h.open()
--- a/internal/app/command/largerules_test.go
+++ b/internal/app/command/largerules_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// TestLargeRulesVersionAmongProcesses: rules of 250 customers and a thousand routes reach all processes by datagrams, a change of one entry becomes active
-// while one process is cut off, and each process can return the active version.
+// TestLargeRulesVersionAmongProcesses checks that rules with 250 accounts and a thousand routes
+// reach all processes in datagrams, that a change of one entry becomes active while one process is
+// cut off, and that this process can return the active version afterwards.
 func TestLargeRulesVersionAmongProcesses(t *testing.T) {
 	t.Parallel()
 	rig := startRulesRig(t, "")
--- a/internal/app/command/ledger_test.go
+++ b/internal/app/command/ledger_test.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// ledgerTier is four proxies with messages between them, and six hosts.
+// ledgerTier is four proxies that send one another peer datagrams, and six hosts.
 type ledgerTier struct {
 	*testing.T
 	mesh   *fake.Mesh
@@ -22,7 +22,7 @@
 
 const (
 	ledgerProxies = 4
-	ledgerGroups  = 3 // of requests
+	ledgerGroups  = 3 // groups of clients
 )
 
 func newLedgerTier(t *testing.T) *ledgerTier {
@@ -49,7 +49,7 @@
 	return tier
 }
 
-// start starts proxy i, or starts it again.
+// start starts or restarts proxy i.
 func (l *ledgerTier) start(i int) {
 	l.Helper()
 	p, err := l.env.Proxy(l.setups[i])
@@ -60,7 +60,7 @@
 	l.Cleanup(p.Kill)
 }
 
-// cutAll cuts all links between the proxies, or ends that.
+// cutAll cuts all links between the proxies if on is true, and restores them if it is false.
 func (l *ledgerTier) cutAll(on bool) {
 	for i := range ledgerProxies {
 		for j := range ledgerProxies {
@@ -71,10 +71,11 @@
 	}
 }
 
-// noProxy stands for no proxy that connect leaves out.
+// noProxy makes connect use all proxies.
 const noProxy = -1
 
-// connect sends n requests of three groups, at all proxies but one in turn, and returns the connections.
+// connect sends n requests of three groups to the proxies in turn, omits those for the proxy
+// except, and returns the connections.
 func (l *ledgerTier) connect(n, except int) (clients []*fake.Client) {
 	l.Helper()
 	for i := range n {
@@ -92,7 +93,7 @@
 	return clients
 }
 
-// maxPerHost is the largest number of connections at one host.
+// maxPerHost returns the largest number of connections at one host.
 func (l *ledgerTier) maxPerHost() (largest int) {
 	for _, host := range l.hosts.Servers {
 		largest = max(largest, host.Established())
@@ -100,7 +101,7 @@
 	return largest
 }
 
-// disconnect closes connections, and waits until no host has any.
+// disconnect closes connections and waits until no host has any.
 func (l *ledgerTier) disconnect(clients []*fake.Client) {
 	l.Helper()
 	for _, client := range clients {
@@ -111,8 +112,9 @@
 	}
 }
 
-// TestPlacementLedgerAmongProcesses: with the ledger, connections of few groups are spread evenly over the hosts. Without messages, and while the
-// ledger server is killed and starts again, each request is served all the same.
+// TestPlacementLedgerAmongProcesses checks that with the ledger the connections of few groups are
+// spread evenly over the hosts, and that requests are also served while no peer datagrams arrive
+// and while the ledger server is killed and restarted.
 func TestPlacementLedgerAmongProcesses(t *testing.T) {
 	t.Parallel()
 	tier := newLedgerTier(t)
@@ -134,7 +136,7 @@
 	tier.start(0)
 	clients = append(clients, tier.connect(36, noProxy)...)
 	if len(clients) < 60 {
-		t.Errorf("%d connections are established around the ledger server's death, want 60 or more", len(clients))
+		t.Errorf("%d connections are established while the ledger server is killed and restarted, want 60 or more", len(clients))
 	}
 	tier.disconnect(clients)
 }
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -13,16 +13,17 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// establishment is the moment at which a connection was established.
+// establishment records that a connection was established.
 type establishment struct {
 	at   time.Time
-	open int // connections of the tenant then, over all processes
+	open int // the tenant's open connections at all processes, including the new one
 }
 
-// tenantLoad requests connections of a tenant at every process all the time. Each that is established stays open for a while.
+// tenantLoad repeatedly requests connections for a tenant at every process. Each established
+// connection stays open for openDuration.
 type tenantLoad struct {
 	processLoop
-	openDuration time.Duration // of each connection
+	openDuration time.Duration
 
 	mu          sync.Mutex
 	established []establishment
@@ -31,7 +32,8 @@
 	unanswered  int
 }
 
-// startTenantLoad starts the clients; interval is the wait between two requests at a process.
+// startTenantLoad starts one client for each process. interval returns the time that a process's
+// client waits between two requests.
 func startTenantLoad(t *testing.T, rig *experiment.Rig, tenant string, openDuration time.Duration, interval func(process int) time.Duration) *tenantLoad {
 	t.Helper()
 	load := &tenantLoad{openDuration: openDuration}
@@ -64,17 +66,18 @@
 	client.Close()
 }
 
-// usage is how much of its limits a tenant has used in a time.
+// usage is what a tenant used of its limits in a period.
 type usage struct {
-	established  int // connections
-	maxPerSecond int // established within one second
-	maxOpen      int // at once
+	established  int // connections established in the period
+	maxPerSecond int // most connections established within one second
+	maxOpen      int // most connections open at once
 }
 
+// usageSince returns the tenant's usage from the time since to now.
 func (l *tenantLoad) usageSince(since time.Time) (u usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	first := 0 // of the last second
+	first := 0 // index of the first connection in the second that ends with connection i
 	for i, e := range l.established {
 		if e.at.Before(since) {
 			first = i + 1
@@ -88,25 +91,27 @@
 	return u
 }
 
-// limitBounds are what a tenant may use in a phase of a test.
+// limitBounds bounds a tenant's usage in a phase of a test.
 type limitBounds struct{ minEstablished, maxPerSecond, maxOpen int }
 
-// checkPhase measures a phase of a test.
+// checkPhase waits for duration and checks the tenant's usage in that time.
 func (l *tenantLoad) checkPhase(t *testing.T, phase string, duration time.Duration, bounds limitBounds) {
 	t.Helper()
 	from := time.Now()
 	time.Sleep(duration)
 	u := l.usageSince(from)
-	t.Logf("%s: %d in %v, %d within a second, %d open", phase, u.established, duration, u.maxPerSecond, u.maxOpen)
+	t.Logf("%s: %d connections established in %v, at most %d within a second and %d open", phase, u.established, duration, u.maxPerSecond, u.maxOpen)
 	if u.established < bounds.minEstablished || u.maxPerSecond > bounds.maxPerSecond || u.maxOpen > bounds.maxOpen {
-		t.Errorf("%s: %+v in %v, want %+v", phase, u, duration, bounds)
+		t.Errorf("%s: usage %+v in %v, want it within %+v", phase, u, duration, bounds)
 	}
 }
 
-// jobsWithLimits is how many jobs a fleet with agreed rules has: the rules', and one for each shard of the limits.
+// jobsWithLimits is the number of jobs in a fleet with rules: the publisher's, and one for each
+// shard of the limits.
 const jobsWithLimits = 1 + quota.Shards
 
-// issuerPreferablyNot is a process that issues grants of a shard of the limits, preferably not the one given.
+// issuerPreferablyNot returns a process that issues grants for a shard of the limits, and one other
+// than process if there is any.
 func issuerPreferablyNot(rig *experiment.Rig, process int) int {
 	owners, _ := rig.JobOwners()
 	issuer := owners["limits0"]
@@ -118,16 +123,18 @@
 	return issuer
 }
 
-// putLimits makes rules with an account's limits active.
+// putLimits puts rules with limits for the account acme, until the answer contains want. rate is in
+// connections per second, connections the number open at once.
 func putLimits(t *testing.T, rig *experiment.Rig, against, rate, connections int, want string) {
 	t.Helper()
 	rules := fmt.Sprintf(`(rules (account acme (tenants t1) (rate %d) (standing %d)) (account other (tenants t2)))`, rate, connections)
 	putRulesUntil(t, rig, 1, against, rules, want)
 }
 
-// TestLimitsAmongProcesses: a customer at several times its limit, nearly all of it at one of five processes. What it may have is used, and
-// never more than that and what was granted in one lifetime: also while a process is cut off, an issuer is killed or sleeps, and after the
-// limit is cut by half.
+// TestLimitsAmongProcesses checks the limits of a customer whose load is several times its limit,
+// nearly all of it at one of five processes. The customer uses its limit, and never more than that
+// plus the grants of one lifetime, even while a process is cut off, after an issuer was paused or
+// killed, and after the limits were halved.
 func TestLimitsAmongProcesses(t *testing.T) {
 	t.Parallel()
 	rig, _ := startCustomersRig(t)
@@ -140,12 +147,13 @@
 		}
 		return 150 * time.Millisecond
 	})
-	// Granted in one lifetime: as much as the limit once more; saved in a bucket: a quarter.
+	// The grants of one lifetime add at most the limit once more, and the tokens saved in a bucket
+	// a quarter of it.
 	const maxPerSecond = 2*rate + rate/4
 	time.Sleep(3 * time.Second)
 	load.checkPhase(t, "no fault", 3*time.Second, limitBounds{5, maxPerSecond, connections})
 	rig.SetCutOff(2, true)
-	load.checkPhase(t, "one cut off", 3*time.Second, limitBounds{1, maxPerSecond, connections})
+	load.checkPhase(t, "one process cut off", 3*time.Second, limitBounds{1, maxPerSecond, connections})
 	rig.SetCutOff(2, false)
 
 	issuer := issuerPreferablyNot(rig, 0)
@@ -155,12 +163,12 @@
 	time.Sleep(1500 * time.Millisecond)
 	rig.Procs[issuer].Signal(syscall.SIGCONT)
 	load.paused[issuer].Store(false)
-	load.checkPhase(t, "an issuer slept", 3*time.Second, withGrantsOfTwoIssuers)
+	load.checkPhase(t, "an issuer was paused", 3*time.Second, withGrantsOfTwoIssuers)
 	checkKilledIssuer(t, rig, load, issuer, withGrantsOfTwoIssuers)
 
 	putLimits(t, rig, 2, rate/2, connections/2, "active: version 3 at")
 	time.Sleep(3 * time.Second)
-	load.checkPhase(t, "cut by half", 2*time.Second, limitBounds{1, rate + rate/8 + 1, connections / 2})
+	load.checkPhase(t, "limits halved", 2*time.Second, limitBounds{1, rate + rate/8 + 1, connections / 2})
 	load.mu.Lock()
 	defer load.mu.Unlock()
 	if load.unanswered > 0 || load.rejected < 10 {
@@ -168,7 +176,8 @@
 	}
 }
 
-// checkKilledIssuer: the bounds hold from the kill on, and connections are established again once the jobs have owners.
+// checkKilledIssuer kills and restarts an issuer. The bounds must hold from the kill on, and
+// connections must be established again once all jobs have owners.
 func checkKilledIssuer(t *testing.T, rig *experiment.Rig, load *tenantLoad, issuer int, bounds limitBounds) {
 	t.Helper()
 	load.paused[issuer].Store(true)
@@ -178,12 +187,13 @@
 		t.Fatal(err)
 	}
 	load.paused[issuer].Store(false)
-	// Until its jobs have another owner, and that has waited for the grants before it to lapse, there may be no connection at all.
+	// There may be no connections until the issuer's jobs have another owner, which waits until the
+	// earlier grants have lapsed.
 	if _, err := rig.AwaitJobsOwned(jobsWithLimits); err != nil {
 		t.Fatal(err)
 	}
-	load.checkPhase(t, "an issuer killed", 4*time.Second, bounds)
+	load.checkPhase(t, "an issuer was killed", 4*time.Second, bounds)
 	if u := load.usageSince(killedAt); u.maxPerSecond > bounds.maxPerSecond || u.maxOpen > bounds.maxOpen {
-		t.Errorf("since an issuer was killed: %+v, want %+v at most", u, bounds)
+		t.Errorf("since an issuer was killed: usage %+v, want at most %+v", u, bounds)
 	}
 }
--- a/internal/app/command/lossylinks_test.go
+++ b/internal/app/command/lossylinks_test.go
@@ -10,9 +10,10 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// TestRulesOverLossyLinks: a fifth of all datagrams is lost, as many are duplicated, and all are late and reordered. Changes of the operators and of a
-// customer become active in their order, two versions are applied at once no longer than agree_within, and a change that was signed before its grant was
-// revoked is rejected.
+// TestRulesOverLossyLinks checks rules while a fifth of all datagrams is lost, a fifth is
+// duplicated, and all are delayed and reordered. Changes by the operators and by a customer become
+// active in order, two versions are applied at once for at most agree_within, and a change that was
+// signed before its grant was revoked is rejected.
 func TestRulesOverLossyLinks(t *testing.T) {
 	t.Parallel()
 	rig, _ := startCustomersRig(t)
@@ -44,7 +45,7 @@
 	for n := range 2 {
 		change(n, fmt.Sprintf(`(namespace (account acme) (route r%d (class lab) (pool main)))`, n), "--key", key)
 		for i, p := range rig.Procs {
-			requestAnswer(p.Addr, fmt.Sprintf("%04x%012x", i, n)) // has each process log a decision
+			requestAnswer(p.Addr, fmt.Sprintf("%04x%012x", i, n)) // makes each process log a decision
 		}
 	}
 	beforeRevocation := version
--- a/internal/app/command/main_test.go
+++ b/internal/app/command/main_test.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/fleet/replica"
 )
 
-// TestMain runs the test's own binary as the program where the environment says so, so that tests can start whole processes.
+// TestMain runs the program instead of the tests if CROFTLOCK_TEST_RUN is set, so that tests can
+// start processes of their own binary.
 func TestMain(m *testing.M) {
 	owneragent.OpenVoter = replica.Open
 	if os.Getenv("CROFTLOCK_TEST_RUN") != "" {
@@ -18,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// command runs one sub-command in this process, and returns its output and exit status.
+// command runs a command line in this process and returns its output and exit status.
 func command(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	root := New(func(string) string { return "" })
--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -14,16 +14,18 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// waitAllAlive waits until every process of the rig sees all others alive.
+// waitAllAlive waits until every process of the rig sees all others alive. after describes what
+// happened before, for a failure message.
 func waitAllAlive(t *testing.T, rig *experiment.Rig, after string) {
 	t.Helper()
 	if _, ok := rig.AwaitAllAlive(recoveryTimeout); !ok {
-		t.Fatalf("after %s not all processes see all others alive", after)
+		t.Fatalf("not all processes see all others alive within %v after %s", recoveryTimeout, after)
 	}
 }
 
-// TestMembersAmongProcesses: five processes with faults between them. No fault takes a live member for lost, and all changes are known to all in
-// the end. Failures print the plan of faults in the form in which it can be played again.
+// TestMembersAmongProcesses checks the membership of five processes with faults between them. No
+// process may regard a live member as lost, and all must know all changes in the end. A failure
+// prints the plan of faults in a form that can be run again.
 func TestMembersAmongProcesses(t *testing.T) {
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
 	rig, err := experiment.NewRig(env, 5, 1, sealKey, asProgram...)
@@ -33,7 +35,7 @@
 	t.Cleanup(rig.Close)
 	waitAllAlive(t, rig, "the start")
 	checkFaultsWithoutLoss(t, rig)
-	waitAllAlive(t, rig, "faults that no process dies of")
+	waitAllAlive(t, rig, "faults that end no process")
 	checkOneWayCut(t, rig)
 	waitAllAlive(t, rig, "a cut in one direction")
 	checkForgedDatagrams(t, rig)
@@ -44,7 +46,8 @@
 	waitAllAlive(t, rig, "a restart of both")
 }
 
-// checkFaultsWithoutLoss: by lost, duplicated, late and corrupted datagrams and a pause of a second no member is unreachable or gone.
+// checkFaultsWithoutLoss checks that lost, duplicated, delayed and corrupted datagrams and a pause
+// of one second make no member unreachable or gone.
 func checkFaultsWithoutLoss(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	plan := []simulation.Fault{{Kind: "loss", StartMS: 0, DurationMS: 3000, Amount: 0.2}, {Kind: "twice", StartMS: 500, DurationMS: 3000, Amount: 0.3}, {Kind: "garbage", StartMS: 0, DurationMS: 3000, Amount: 0.1},
@@ -58,12 +61,12 @@
 	}
 	for i, p := range rig.Procs {
 		if lines := slices.Concat(p.LogLines("to=unreachable"), p.LogLines("to=gone")); len(lines) > 0 {
-			t.Errorf("n%d has a live member as lost: %s\n%s", i, lines, experiment.FormatPlan(plan))
+			t.Errorf("n%d regards a live member as lost: %s; plan:\n%s", i, lines, experiment.FormatPlan(plan))
 		}
 	}
 }
 
-// checkOneWayCut: a link that is cut in one direction is reported as such.
+// checkOneWayCut checks that the members' report names a link that is cut in one direction.
 func checkOneWayCut(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	rig.PlayFaults([]simulation.Fault{{Kind: "one-way", Process: 1, Destination: 2}})
@@ -80,14 +83,14 @@
 	played := make(chan error, 1)
 	go func() { played <- rig.PlayFaults(plan) }()
 	if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool { return reported() || len(played) > 0 }); !ok || !reported() && len(played) > 0 {
-		t.Errorf("n0 does not report that n2 does not hear n1\n%s", experiment.FormatPlan(plan))
+		t.Errorf("n0 does not report that n2 does not hear n1; plan:\n%s", experiment.FormatPlan(plan))
 	}
 	if err := <-played; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// checkForgedDatagrams: forged and replayed datagrams, and those of another version, are rejected and change nothing.
+// checkForgedDatagrams checks that forged datagrams are counted as unsealed and change nothing.
 func checkForgedDatagrams(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	before, err := rig.RequestMemberReport(0)
@@ -103,14 +106,15 @@
 		report, err := rig.RequestMemberReport(0)
 		return err == nil && report.Counts["unsealed"] >= 50
 	}); !ok {
-		t.Error("forged datagrams are not counted as rejected")
+		t.Errorf("n0 does not count 50 or more of 500 forged datagrams as unsealed within %v", recoveryTimeout)
 	}
 	if after, err := rig.RequestMemberReport(0); err != nil || after.Digest != before.Digest {
 		t.Errorf("the view's digest is %v after a flood of forged datagrams, want %v; error %v", after.Digest, before.Digest, err)
 	}
 }
 
-// checkFullDisk: a full disk is logged, and the process goes on.
+// checkFullDisk checks that a full disk is logged. The caller checks that the process continues to
+// run.
 func checkFullDisk(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	plan := []simulation.Fault{{Kind: "full", DurationMS: 3000, Process: 1}}
@@ -125,11 +129,12 @@
 		t.Fatal(err)
 	}
 	if len(rig.Procs[1].LogLines("event=state_not_saved")) == 0 {
-		t.Errorf("a full disk is not logged\n%s", experiment.FormatPlan(plan))
+		t.Errorf("n1 does not log event=state_not_saved on a full disk; plan:\n%s", experiment.FormatPlan(plan))
 	}
 }
 
-// checkReplacedMember: after a hot restart the new process is the same member, with a new incarnation.
+// checkReplacedMember checks that the new process of a hot restart, which has a new incarnation, is
+// the same member to all others: none sees n0 unreachable or left.
 func checkReplacedMember(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	if err := rig.Replace(0); err != nil {
@@ -138,12 +143,13 @@
 	waitAllAlive(t, rig, "a hot restart")
 	for i, p := range rig.Procs[1:] {
 		if lines := slices.Concat(p.LogLines("name=n0 from=alive to=unreachable"), p.LogLines("name=n0 from=alive to=left")); len(lines) > 0 {
-			t.Errorf("n%d has the replaced process as lost: %s", i+1, lines)
+			t.Errorf("n%d regards the replaced member n0 as lost: %s", i+1, lines)
 		}
 	}
 }
 
-// checkKillAndLeave: a killed process and one that has left are told apart. Both start again.
+// checkKillAndLeave checks that the others distinguish a killed process from one that left, and
+// starts both again.
 func checkKillAndLeave(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	rig.Procs[3].Kill()
@@ -152,10 +158,10 @@
 	}
 	remaining := []int{0, 1, 2}
 	if _, ok := rig.AwaitMemberState(recoveryTimeout, remaining, 3, membership.Unreachable.String(), membership.Gone.String()); !ok {
-		t.Error("not all have the killed process as unreachable or gone")
+		t.Errorf("not all processes regard the killed n3 as unreachable or gone within %v", recoveryTimeout)
 	}
 	if _, ok := rig.AwaitMemberState(recoveryTimeout, remaining, 4, membership.Left.String()); !ok {
-		t.Error("not all know that the stopped process has left")
+		t.Errorf("not all processes know within %v that the stopped n4 has left", recoveryTimeout)
 	}
 	for _, i := range []int{3, 4} {
 		if err := rig.Start(i); err != nil {
@@ -164,12 +170,12 @@
 	}
 }
 
-// TestMembersDiscoverOneAnotherThroughSeeds: with a fleet that changes, two seed addresses are enough: the third and the fourth process find each other
-// through the seeds.
+// TestMembersDiscoverOneAnotherThroughSeeds checks that two seed addresses are enough in a fleet
+// whose members change: the third and the fourth process find each other through the seeds.
 func TestMembersDiscoverOneAnotherThroughSeeds(t *testing.T) {
 	const members = 4
 	env, dir := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, t.TempDir()
-	mesh, err := fake.NewMesh(members, 1) // for addresses that no other process uses
+	mesh, err := fake.NewMesh(members, 1) // provides addresses that no other process uses
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,7 +207,7 @@
 			return err == nil && alive == members-1 && report.Quorum
 		}); !ok {
 			report, err := memberagent.RequestReport(socket(i))
-			t.Errorf("n%d has not found all others: %+v, %v", i, report, err)
+			t.Errorf("n%d has not found the %d others within %v: report %+v, error %v", i, members-1, recoveryTimeout, report, err)
 		}
 	}
 }
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -13,7 +13,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// startCustomersRig are five processes before four hosts of two kinds.
+// startCustomersRig starts five processes that agree on rules, and four hosts of the kinds a and b.
 func startCustomersRig(t *testing.T) (*experiment.Rig, map[string]*fake.Server) {
 	t.Helper()
 	hosts := map[string]*fake.Server{}
@@ -45,17 +45,18 @@
 	return rig, hosts
 }
 
-// customersTest is five processes with the rules of two customers, acme and other, and clients of both at each.
+// customersTest is a rig of five processes with rules for the accounts of two customers, acme and
+// other, and clients of both at each process.
 type customersTest struct {
 	*testing.T
 	rig       *experiment.Rig
 	hosts     map[string]*fake.Server
-	key       string // path of the key of acme's administrator
-	publicKey string
+	key       string // path of the private key of acme's administrator
+	publicKey string // of the same key, as a grant contains it
 	clients   *clientLoop
 }
 
-// change retries a change against a version until the answer contains a text.
+// change puts a change against a version repeatedly until the answer contains want.
 func (c *customersTest) change(via, against int, text, want string, args ...string) {
 	c.Helper()
 	answer := ""
@@ -67,15 +68,17 @@
 	}
 }
 
-// rulesOf are the operators' rules: the hosts of the pools a and b, and the tenants of the customers.
+// rulesOf returns the operators' rules with the hosts of the pools a and b and the tenants of the
+// accounts acme and other.
 func (c *customersTest) rulesOf(poolA, poolB, acme, other string) string {
 	return fmt.Sprintf(`(rules (pool a %s) (pool b %s) (account acme (tenants %q) (pools a) (grant admin (key %q) (verbs route))) (account other (tenants %q) (pools b)))`,
 		poolA, poolB, acme, c.publicKey, other)
 }
 
-// TestNamespacesAmongProcesses: two customers have pools of their own; a host and a tenant change from one to the other while one process is cut off
-// and one paused. No request is sent to the other customer's host, no host belongs to two at once, an established connection stays, and a customer's
-// administrator changes its own routes alone.
+// TestNamespacesAmongProcesses checks two customers with pools of their own. A host and a tenant
+// are reassigned from one to the other while one process is cut off and one is paused. No request
+// is sent to the other customer's host, no host belongs to both at once, an established connection
+// stays, and a customer's administrator can change only its own routes.
 func TestNamespacesAmongProcesses(t *testing.T) {
 	t.Parallel()
 	c := &customersTest{T: t}
@@ -95,10 +98,10 @@
 	c.checkHistory()
 }
 
-// connectTo opens connections of acme's until one is at a host. It stays open.
+// connectTo opens connections for acme until one is established at host, and returns that one.
 func (c *customersTest) connectTo(host string) (client *fake.Client) {
 	c.Helper()
-	eventually(c, "a connection of acme's is established at "+host, func() bool {
+	eventually(c, "a connection for acme is established at "+host, func() bool {
 		before := c.hosts[host].Established()
 		opened, _, _ := fake.Open(c.rig.Procs[0].Addr, "lab", "t=t1", time.Second)
 		if opened == nil {
@@ -106,7 +109,7 @@
 		}
 		out, _ := command(c.T, "rules", "explain", "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=lab,t=t1", "--socket", c.socket(0))
 		if !strings.Contains(out, "account acme") || !strings.Contains(out, "pool a") {
-			c.Errorf("a request of acme's is explained as %q, want account acme and pool a", out)
+			c.Errorf("rules explain prints %q for a request of acme, want account acme and pool a", out)
 		}
 		if c.hosts[host].Established() > before {
 			client = opened
@@ -118,10 +121,11 @@
 	return client
 }
 
-// socket is the path of a process's owner agent.
+// socket returns the path of the socket of process i's owner agent.
 func (c *customersTest) socket(i int) string { return filepath.Join(c.rig.Dir(i), "owners.sock") }
 
-// checkNamespaceIsolation: acme's key changes acme's namespace, and neither another's namespace nor another's pool.
+// checkNamespaceIsolation checks that acme's key can change acme's namespace, but neither change
+// another account's namespace nor use its pool.
 func (c *customersTest) checkNamespaceIsolation() {
 	c.Helper()
 	c.change(2, 2, `(namespace (account acme) (route closed (key ff) (refuse on) (advice 200ms)) (route rest (class lab) (pool a)))`, "active: version 3 at 5 of 5", "--key", c.key)
@@ -130,12 +134,13 @@
 		{`(namespace (account acme) (route x (pool b)))`, "account acme may not use pool b"},
 	} {
 		if answer := putUntilAnswered(c.T, c.rig, 3, 3, rejected.change, "--key", c.key); !strings.Contains(answer, rejected.want) {
-			c.Errorf("with acme's key %s is answered with %q, want %q", rejected.change, answer, rejected.want)
+			c.Errorf("the change %s with acme's key is answered with %q, want %q", rejected.change, answer, rejected.want)
 		}
 	}
 }
 
-// reassignHostAndTenant: the host a2 and the tenant t2 go to the other customer while n4 is cut off and n3 paused.
+// reassignHostAndTenant reassigns the host a2 and the tenant t2 to the other customer while n4 is
+// cut off and n3 is paused.
 func (c *customersTest) reassignHostAndTenant() {
 	c.Helper()
 	reassigned := c.rulesOf(`(kinds a)`, `(kinds b) (hosts a2)`, "t1", "t2 t3")
@@ -154,7 +159,8 @@
 	time.Sleep(300 * time.Millisecond)
 }
 
-// checkAttempts checks all processes' logs: attempts at the own customer's hosts alone, and none at a2 for one after the first for the other.
+// checkAttempts checks in all processes' logs that attempts for a customer are only at that
+// customer's hosts, and that no attempt at a2 for acme follows the first one for other.
 func (c *customersTest) checkAttempts() {
 	c.Helper()
 	var all []attempt
@@ -164,16 +170,16 @@
 	n := 0
 	for _, a := range all {
 		if a.version < "2" {
-			continue // before the rules with customers
+			continue // version 2 is the first with the customers' rules
 		}
 		n++
 		if a.account == "acme" && a.host[0] != 'a' || a.account == "other" && a.host[0] != 'b' && a.host != "a2" {
-			c.Errorf("by version %s an attempt for %s is at %s", a.version, a.account, a.host)
+			c.Errorf("by version %s an attempt for account %s is at host %s, want one of its own hosts", a.version, a.account, a.host)
 		}
 	}
 	last, first := reassignmentTimes(all, "a2", "acme", "other")
 	if first.IsZero() || !last.Before(first) {
-		c.Errorf("attempts at a2: the last for acme at %v, the first for other at %v", last, first)
+		c.Errorf("attempts at a2: the last for acme at %v, the first for other at %v; want one for other, after all for acme", last, first)
 	}
 	c.Logf("%d attempts, %d requests served; no attempt at a2 for %v", n, c.clients.served.Load(), first.Sub(last))
 	if n < 100 {
@@ -181,7 +187,7 @@
 	}
 }
 
-// checkHistory checks the audit log of acme, and the difference of two versions.
+// checkHistory checks the audit log of acme and the difference between two versions.
 func (c *customersTest) checkHistory() {
 	c.Helper()
 	for _, query := range []struct {
@@ -197,7 +203,8 @@
 	}
 }
 
-// TestReassignment: attempts at a host for one customer after the first for the other are found.
+// TestReassignment checks that reassignmentTimes finds an attempt for the old customer after the
+// first one for the new customer.
 func TestReassignment(t *testing.T) {
 	at := time.Unix(1000, 0)
 	last, first := reassignmentTimes([]attempt{{at, "acme", "h", "2"}, {at.Add(time.Second), "other", "h", "4"}, {at.Add(2 * time.Second), "acme", "h", "2"}}, "h", "acme", "other")
@@ -206,16 +213,17 @@
 	}
 }
 
-// TestThreeCustomersExample: the example is valid, and a fault in such a file is reported with its position.
+// TestThreeCustomersExample checks that the example file is valid and that a fault in such a file
+// is reported with its position.
 func TestThreeCustomersExample(t *testing.T) {
 	if out, status := command(t, "rules", "check", "../../../deploy/examples/three-customers.sexp"); status != 0 {
-		t.Fatalf("exit status %d, want 0: %s", status, out)
+		t.Fatalf("rules check of the example: exit status %d, want 0; output %s", status, out)
 	}
 	invalid := filepath.Join(t.TempDir(), "bad.sexp")
 	if err := os.WriteFile(invalid, []byte("(rules\n  (pool a (kinds m))\n  (route x (pool nowhere)))\n(namespace (account a))"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if out, status := command(t, "rules", "check", invalid); status != 1 || !strings.Contains(out, "bad.sexp:1:1: namespace: operators/x: there is no pool nowhere") {
-		t.Fatalf("exit status %d, want 1 and the fault's position: %s", status, out)
+		t.Fatalf("rules check of an invalid file: exit status %d, want 1 and the fault's position; output %s", status, out)
 	}
 }
--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -15,10 +15,10 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// rigSlots bounds how many rigs run at a time: on two slow cores more of them starve one another.
+// rigSlots limits how many rigs run at a time: more than two starve one another on two slow cores.
 var rigSlots = make(chan struct{}, 2)
 
-// startOwnersRig starts five processes of which three vote.
+// startOwnersRig starts five processes. Three vote, and store their votes on disk if disks is true.
 func startOwnersRig(t *testing.T, disks bool) *experiment.Rig {
 	t.Helper()
 	rigSlots <- struct{}{}
@@ -36,13 +36,14 @@
 	return rig
 }
 
-// recoveryTimeout is how long a fleet may take to recover from a fault.
+// recoveryTimeout is the time that a fleet may take to recover from a fault.
 const recoveryTimeout = 40 * time.Second
 
-// ownersRigJobs is how many jobs the fleet of startOwnersRig has: three drills, and the suspended hosts.
+// ownersRigJobs is the number of jobs of startOwnersRig: three drills and the suspended hosts.
 const ownersRigJobs = 4
 
-// waitOwners waits until every job has one owner, as the owners say themselves, and gives them. after says what happened before.
+// waitOwners waits until every job has one owner, as reported by the owners other than except, and
+// returns the owners by job. after describes what happened before, for a failure message.
 func waitOwners(t *testing.T, rig *experiment.Rig, after string, except ...int) map[string]int {
 	t.Helper()
 	var owners map[string]int
@@ -54,12 +55,12 @@
 		for i, p := range rig.Procs {
 			t.Logf("n%d: %s", i, strings.Join(p.LogLines("event=replica_"), "\n"))
 		}
-		t.Fatalf("after %s the owners are %v; %s", after, owners, conflict)
+		t.Fatalf("after %s the owners are %v, want one for each of %d jobs; conflict: %s", after, owners, ownersRigJobs, conflict)
 	}
 	return owners
 }
 
-// TestOwnersAmongProcesses: each job has one owner at a time, and a stale one does no harm.
+// TestOwnersAmongProcesses checks that faults leave each job one owner with a unique fencing token.
 func TestOwnersAmongProcesses(t *testing.T) {
 	t.Parallel()
 	for _, disks := range []bool{true, false} {
@@ -74,16 +75,16 @@
 	t.Helper()
 	owners := waitOwners(t, rig, "the start")
 
-	// An owner is paused while it holds its lease; another begins; the first goes on.
+	// An owner with a lease is paused, another process becomes owner, and the first one resumes.
 	paused := owners["drill000"]
 	rig.Procs[paused].Signal(syscall.SIGSTOP)
 	if next := waitOwners(t, rig, "an owner was paused", paused); next["drill000"] == paused {
-		t.Errorf("n%d owns drill000 while it is paused", paused)
+		t.Errorf("n%d owns drill000 while it is paused, want another owner", paused)
 	}
 	rig.Procs[paused].Signal(syscall.SIGCONT)
-	owners = waitOwners(t, rig, "it went on")
+	owners = waitOwners(t, rig, "the paused owner resumed")
 
-	// An owner is in the smaller part of a cut.
+	// An owner is on the smaller side of a network partition.
 	if err := rig.PlayFaults([]simulation.Fault{{Kind: "cut", DurationMS: 5000, Process: owners["drill001"]}}); err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +109,7 @@
 	}
 }
 
-// ownersCommand is an operator's command at a process, and its answer.
+// ownersCommand sends an operator's command to process i and returns the reply's answer or error.
 func ownersCommand(t *testing.T, rig *experiment.Rig, i int, name, argument string) string {
 	t.Helper()
 	reply, err := rig.SendOwnerRequest(i, owneragent.Request{Command: name, Argument: argument})
@@ -118,17 +119,17 @@
 	return reply.Answer + reply.Error
 }
 
-// TestFleetSuspension: a suspension at any proxy holds at all, also at one that was cut off or has started since.
+// TestFleetSuspension checks that suspensions reach all proxies, even one that was down or cut off.
 func TestFleetSuspension(t *testing.T) {
 	t.Parallel()
 	rig := startOwnersRig(t, true)
 	waitOwners(t, rig, "the start")
-	suspendedAt := func(i int) bool { // s0 is the only host
+	suspendedAt := func(i int) bool { // by the log; s0 is the only host
 		lines := rig.Procs[i].LogLines("event=host_suspended")
 		return len(lines) > 0 && strings.Contains(lines[len(lines)-1], "suspended=true")
 	}
-	eventually(t, "the host is suspended at all", func() bool { return ownersCommand(t, rig, 3, "suspend", "s0") == "done at all 5" })
-	for i := range rig.Procs { // its log may be written a moment later
+	eventually(t, "the host is suspended at all proxies", func() bool { return ownersCommand(t, rig, 3, "suspend", "s0") == "done at all 5" })
+	for i := range rig.Procs { // a process may write its log a moment after the answer
 		eventually(t, fmt.Sprintf("n%d logs the suspension", i), func() bool { return suspendedAt(i) })
 	}
 
@@ -142,7 +143,7 @@
 	eventually(t, "the answer names n4, which is cut off", func() bool {
 		answer := ownersCommand(t, rig, 1, "resume", "s0")
 		named := strings.HasPrefix(answer, "done at 4 of 5") && strings.HasSuffix(answer, "n4")
-		// A member that nobody has heard for 10 s is gone: the fleet is the other four, and the answer counts those.
+		// A member that no other has heard for 10 s is gone: the answer counts the other four.
 		gone := answer == "done at all 4" && rig.MemberState(1, 4) == membership.Gone.String()
 		return named || gone
 	})
@@ -152,11 +153,12 @@
 	rig.SetCutOff(4, false)
 	eventually(t, "n4, which was cut off, resumes the host", func() bool { return !suspendedAt(4) })
 	if answer := ownersCommand(t, rig, 0, "suspend", ""); !strings.HasPrefix(answer, "refused") {
-		t.Errorf("a suspension without a host is answered with %q, want a rejection", answer)
+		t.Errorf("a suspension without a host is answered with %q, want one that starts with refused", answer)
 	}
 }
 
-// TestVoterWithFullDisk: a voter whose store has no room stops voting and releases its jobs; it serves on, and votes again by itself.
+// TestVoterWithFullDisk checks that a voter with a full disk stops voting, releases its jobs and
+// continues to answer, and that it votes again without an operator once the disk has room.
 func TestVoterWithFullDisk(t *testing.T) {
 	t.Parallel()
 	rig := startOwnersRig(t, true)
@@ -165,24 +167,24 @@
 	if err := fill(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a voter without room reports it", func() bool {
+	eventually(t, "n0 reports that its store cannot be used", func() bool {
 		reply, err := rig.SendOwnerRequest(0, owneragent.Request{Command: "status"})
 		return err == nil && reply.Store != ""
 	})
-	waitOwners(t, rig, "a voter had no room", 0)
+	waitOwners(t, rig, "the disk of n0 was full", 0)
 	if status, _, _, err := experiment.CallAdmin(rig.Admin(0), "GET", "/v1/readyz"); err != nil || status != 200 && status != 503 {
-		t.Errorf("readyz without room: status %d, %v; want 200 or 503", status, err)
+		t.Errorf("/v1/readyz with a full disk: status %d, error %v; want 200 or 503", status, err)
 	}
 	if err := free(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the voter is a member again", func() bool {
+	eventually(t, "n0 is a member of the group again", func() bool {
 		reply, err := rig.SendOwnerRequest(0, owneragent.Request{Command: "status"})
 		return err == nil && reply.Store == "" && reply.Group != nil && reply.Group.Phase == "member"
 	})
 }
 
-// TestVoterRejoinsAfterLosingItsDisk: operators' commands give a voter that lost its disk its vote back, under another identity.
+// TestVoterRejoinsAfterLosingItsDisk checks that operators can add the voter under a new identity.
 func TestVoterRejoinsAfterLosingItsDisk(t *testing.T) {
 	t.Parallel()
 	rig := startOwnersRig(t, true)
@@ -198,20 +200,20 @@
 		name string
 		done func() bool
 	}{
-		{"it waits to be added", func() bool { return groupStatus(rig, 1).matches("outside", 0, 0) }},
+		{"n1 waits to be added", func() bool { return groupStatus(rig, 1).matches("outside", 0, 0) }},
 		{"add", func() bool { return anyVoterExecutes(rig, "add", "n1") }},
-		{"it is a learner", func() bool { return groupStatus(rig, 1).matches("member", 3, 0) }},
+		{"n1 is a learner", func() bool { return groupStatus(rig, 1).matches("member", 3, 0) }},
 		{"promote", func() bool { return anyVoterExecutes(rig, "promote", "n1") }},
-		{"it votes", func() bool { return groupStatus(rig, 1).matches("member", 3, 3) }},
+		{"n1 is a voter", func() bool { return groupStatus(rig, 1).matches("member", 3, 3) }},
 	} {
 		if _, ok := experiment.AwaitCondition(recoveryTimeout, step.done); !ok {
-			t.Fatalf("%s: not reached; n0 reports %+v", step.name, groupStatus(rig, 0))
+			t.Fatalf("step %q is not done within %v; n0 reports %+v", step.name, recoveryTimeout, groupStatus(rig, 0))
 		}
 	}
 	waitOwners(t, rig, "a disk was lost")
 }
 
-// anyVoterExecutes has n0 or n2 carry out an operator's command about a member; false: neither does.
+// anyVoterExecutes sends a command about a member to n0 and n2 and reports whether one executed it.
 func anyVoterExecutes(rig *experiment.Rig, command, member string) bool {
 	for _, i := range []int{0, 2} {
 		if reply, err := rig.SendOwnerRequest(i, owneragent.Request{Command: command, Argument: member}); err == nil && reply.Error == "" {
@@ -221,7 +223,7 @@
 	return false
 }
 
-// replicaStatus is a process's part in the replicated group, as it reports it; zero: it reports none.
+// replicaStatus is the replicated group as one process reports it, or zero if it reports none.
 type replicaStatus struct {
 	phase           string
 	voters, members int
@@ -241,7 +243,7 @@
 	return status
 }
 
-// matches compares phase and voters, and members where their number matches above 0.
+// matches reports whether phase and voters are equal to those of s, and members too unless it is 0.
 func (s replicaStatus) matches(phase string, voters, members int) bool {
 	return s.phase == phase && s.voters == voters && (members == 0 || s.members == members)
 }
--- a/internal/app/command/process_test.go
+++ b/internal/app/command/process_test.go
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-// validConfig is a platform configuration. Its discovery has to be replaced.
+// validConfig is a valid platform configuration. Tests replace its discovery address.
 const validConfig = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ffffffffffffffff",
 "limits":{"cores":0.5,"memory_mb":192,"sockets":1024},"known":{"rev":7,"all":true,"targets":[]},
 "settings":{"peers_total":1,"bounds":{"try_limit":5},"lanes":[{"name":"c","on_time":1,"deadline":2,"semantics":"read_like"}]}}`
 
-// configWith is the configuration with a discovery.
+// configWith returns validConfig with the address of discovery.
 func configWith(discovery net.Listener) string {
 	return strings.Replace(validConfig, "127.0.0.1:2", discovery.Addr().String(), 1)
 }
 
-// newDiscoveryListener listens as a discovery that does not answer.
+// newDiscoveryListener returns a listener that stands for a discovery service that does not answer.
 func newDiscoveryListener(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,14 +33,15 @@
 	return l
 }
 
-// program is a process of the program whose log is read line by line.
+// program is a running process of the program, with its log.
 type program struct {
 	*testing.T
 	cmd   *exec.Cmd
 	lines *bufio.Scanner
 }
 
-// startProgram starts the program.
+// startProgram starts the program with additional environment variables. It is killed at the test's
+// end.
 func startProgram(t *testing.T, env []string, args ...string) *program {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -56,7 +57,8 @@
 	return &program{T: t, cmd: cmd, lines: bufio.NewScanner(out)}
 }
 
-// await reads the log up to a line with a text, and returns that line. Each line on the way has to meet the check, if there is one.
+// await reads the log up to a line that contains text and returns that line. It calls check, unless
+// that is nil, with each line that it reads.
 func (p *program) await(text string, check func(line string)) string {
 	p.Helper()
 	for p.lines.Scan() {
@@ -68,7 +70,7 @@
 			return line
 		}
 	}
-	p.Fatalf("the program ended without logging %s", text)
+	p.Fatalf("the program ended without logging %q", text)
 	return ""
 }
 
@@ -79,8 +81,9 @@
 	}
 }
 
-// TestSignals: on SIGHUP the configuration is read again, and its discovery wins over the environment's; an invalid file changes nothing. SIGTERM ends
-// the process without an error.
+// TestSignals checks that SIGHUP reloads the configuration, whose discovery address then overrides
+// the environment's, that an invalid file changes nothing, and that SIGTERM ends the process
+// without an error.
 func TestSignals(t *testing.T) {
 	first, second := newDiscoveryListener(t), newDiscoveryListener(t)
 	config := filepath.Join(t.TempDir(), "config.json")
@@ -95,7 +98,7 @@
 	if line := p.await("event=reloaded", nil); !strings.Contains(line, `at_next_start=limits`) {
 		t.Errorf("the reload is logged as %s, want at_next_start=limits", line)
 	}
-	// The first call at the new address is for the complete list.
+	// The first request to the new address is for the complete list.
 	c, err := second.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -104,21 +107,22 @@
 	request := make([]byte, 64)
 	n, _ := c.Read(request)
 	if !bytes.HasPrefix(request[:n], []byte("GET /discovery/hosts HTTP/1.1\r\n")) {
-		t.Errorf("the first call at the new discovery is %q, want GET /discovery/hosts", request[:n])
+		t.Errorf("the first request to the new discovery is %q, want GET /discovery/hosts HTTP/1.1", request[:n])
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.await("event=stopped", nil)
 	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("after SIGTERM the program ends with %v", err)
+		t.Errorf("after SIGTERM the program ends with error %v, want none", err)
 	}
 }
 
-// TestLogFormat: the command line's log format wins over the settings file's, and an invalid one ends the program before it starts.
+// TestLogFormat checks that the command line's log format overrides the settings file's, and that
+// an invalid one is an error before the program serves.
 func TestLogFormat(t *testing.T) {
 	invalid := New(func(string) string { return "" })
 	invalid.SetArgs([]string{"serve", "--log-format", "xml"})
 	if err := invalid.Execute(); err == nil || !strings.Contains(err.Error(), `"xml": text or json expected`) {
-		t.Fatalf("--log-format xml ends with %v, want that text or json is expected", err)
+		t.Fatalf("--log-format xml ends with error %v, want one that names text and json", err)
 	}
 	dir := t.TempDir()
 	config, settings := filepath.Join(dir, "config.json"), filepath.Join(dir, "x.sexp")
--- a/internal/app/command/pushedlists_test.go
+++ b/internal/app/command/pushedlists_test.go
@@ -8,7 +8,8 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// TestPushedListsAreApplied: a proxy whose lists are pushed watches the agent on its machine and learns that a host drains, though its decision module
+// TestPushedListsAreApplied checks that a proxy whose lists are pushed to the agent on its machine
+// watches that agent and stops sending requests to a draining host, although its decision module
 // does not poll discovery.
 func TestPushedListsAreApplied(t *testing.T) {
 	hosts := newHosts(t, "a", "s0", "s1")
@@ -32,7 +33,7 @@
 	}
 	callsBefore := discovery.Calls()
 	discovery.SetState(drained.UID, "draining")
-	// The watch that is answered with the change is followed by another one.
+	// The proxy sends another watch request after the one that is answered with the change.
 	for end := time.Now().Add(20 * time.Second); discovery.Calls() < callsBefore+3; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d calls of discovery 20 s after the change, want 3 or more", discovery.Calls()-callsBefore)
--- a/internal/app/command/relaybenchmark_test.go
+++ b/internal/app/command/relaybenchmark_test.go
@@ -10,8 +10,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// BenchmarkRelayedLine measures the CPU time that a proxy process takes for a line and its answer. CROFTLOCK_BENCH names another build to measure
-// in place of this one.
+// BenchmarkRelayedLine measures the CPU time that a proxy process uses for a line and its answer.
+// If CROFTLOCK_BENCH is set, it is the path of the build to measure instead of this one.
 func BenchmarkRelayedLine(b *testing.B) {
 	discovery := newHosts(b, "a", "s0").Discovery
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: b.TempDir()}
--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -15,7 +15,7 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// rulesCommand is the group of commands on the rules that all proxies agree on.
+// rulesCommand returns the group of commands for the rules on which all proxies agree.
 func (f *fleetClient) rulesCommand() *cobra.Command {
 	all := &cobra.Command{Use: "rules", Short: "Rules on which all proxies agree"}
 	all.AddCommand(f.putCommand(), f.dropCommand(), f.rollbackCommand(), f.diffCommand(), f.explainCommand(), checkRulesCommand(), keyCommand(),
@@ -23,7 +23,7 @@
 	return all
 }
 
-// query sends a query, or a proposal, to the rules' publisher and prints the reply.
+// query sends an encoded query or proposal to the rules' publisher and prints the reply.
 func (f *fleetClient) query(cmd *cobra.Command, message []byte) error {
 	return f.send(cmd, owneragent.Request{Command: "rules", Rules: message}, nil)
 }
@@ -68,7 +68,7 @@
 		}}
 }
 
-// diffCommand compares two versions, line by line.
+// diffCommand returns the command that compares the texts of two versions line by line.
 func (f *fleetClient) diffCommand() *cobra.Command {
 	return &cobra.Command{Use: "diff VERSION VERSION", Args: cobra.ExactArgs(2), Short: "Tell what one version says and another does not (0: the active one)", Example: "  croftlock rules diff 6 0",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -85,7 +85,8 @@
 		}}
 }
 
-// versionText queries the text of a version.
+// versionText queries the text of a rules version. version is a decimal number; 0 stands for the
+// active version.
 func (f *fleetClient) versionText(cmd *cobra.Command, version string) (text string, err error) {
 	n, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
@@ -101,10 +102,10 @@
 	return text, err
 }
 
-// printMissing prints, with a mark, the lines of a version's text that another's lacks, each with its section. Comments are left out: they hold
-// numbers that differ between any two versions.
+// printMissing prints the lines of text that other lacks, each after mark and with its section. It
+// omits comments, which contain numbers that differ between any two versions.
 func printMissing(w io.Writer, mark, text, other string) {
-	unmatched := map[string]int{} // how often each line of other is not matched yet
+	unmatched := map[string]int{} // how many copies of each line of other are not matched yet
 	for _, line := range strings.Split(other, "\n") {
 		unmatched[line]++
 	}
--- a/internal/app/command/rules_test.go
+++ b/internal/app/command/rules_test.go
@@ -13,21 +13,23 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// TestLongestOverlap: two versions in use side by side are found in a log, and decisions without a lease do not count.
+// TestLongestOverlap checks that longestOverlap finds two versions that are applied at once, and
+// ignores decisions without a lease.
 func TestLongestOverlap(t *testing.T) {
 	at := time.Unix(1000, 0)
 	log := [][]ruleDecision{{{at, 1, false}, {at.Add(3 * time.Second), 1, false}, {at.Add(9 * time.Second), 1, true}}, {{at.Add(time.Second), 2, false}}}
 	if o := longestOverlap(log); o != 2*time.Second {
-		t.Fatalf("an overlap of %v, want 2 s", o)
+		t.Fatalf("longestOverlap = %v, want 2 s", o)
 	}
 }
 
-// rulesLoad sends requests to every process of a rig all the time, and counts those without an answer.
+// rulesLoad repeatedly sends requests to every process of a rig and counts those without an answer.
 type rulesLoad struct {
 	processLoop
 	unanswered atomic.Int64
 }
 
+// startRulesLoad starts the requests. A paused process need not answer.
 func startRulesLoad(t *testing.T, rig *experiment.Rig) *rulesLoad {
 	t.Helper()
 	load := &rulesLoad{}
@@ -40,11 +42,12 @@
 	return load
 }
 
-// rejectAll are rules by which every request is rejected.
+// rejectAll is a change to rules that reject every request with a Retry-After of 300 ms.
 const rejectAll = `(rules (refuse all (advice 300ms)))`
 
-// TestRulesAmongProcesses: changes while processes are cut off, paused and killed. From the moment that one acts by a newer version none acts
-// by an older one for longer than a second, every request is answered, and all agree in the end.
+// TestRulesAmongProcesses checks changes of the rules while processes are cut off, paused and
+// killed. Once a process acts by a newer version, none acts by an older one for more than a second.
+// Every request is answered, and all processes agree in the end.
 func TestRulesAmongProcesses(t *testing.T) {
 	t.Parallel()
 	rig := startRulesRig(t, "")
@@ -52,16 +55,17 @@
 	load := startRulesLoad(t, rig)
 	checkRejectedChanges(t, rig)
 
-	// One is cut off during a change: it acts by nothing once its lease has lapsed, and catches up by itself.
+	// n4 is cut off during a change. Once its lease has lapsed it acts by no version, and it
+	// catches up afterwards.
 	rig.SetCutOff(4, true)
 	putRulesUntil(t, rig, 0, 1, `(rules (out s1))`, "active: version 2 at 4 of 5; lapsed: n4")
 	if answer := requestAnswer(rig.Procs[4].Addr, "feed000000000002"); !strings.HasPrefix(answer, "BUSY") {
-		t.Errorf("cut off, n4 answers %q, want BUSY", answer)
+		t.Errorf("n4 answers %q while it is cut off, want BUSY", answer)
 	}
 	rig.SetCutOff(4, false)
 	waitActive(t, rig, 0, 2, 5)
 
-	// One is paused during a change.
+	// n3 is paused during a change.
 	load.paused[3].Store(true)
 	rig.Procs[3].Signal(syscall.SIGSTOP)
 	putRulesUntil(t, rig, 0, 2, rejectAll, "active: version 3 at")
@@ -73,11 +77,12 @@
 	load.stop()
 	checkRuleDecisions(t, rig, beforeKill)
 	if n := load.unanswered.Load(); n > 0 {
-		t.Errorf("%d requests without an answer", n)
+		t.Errorf("%d requests without an answer, want 0", n)
 	}
 }
 
-// checkRejectedChanges makes version 1 active, and has changes rejected that do not follow it.
+// checkRejectedChanges makes version 1 active. It then checks that a change against an older
+// version and an invalid change are rejected.
 func checkRejectedChanges(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	putRulesUntil(t, rig, 3, 0, rejectAll, "active: version 1 at")
@@ -87,14 +92,15 @@
 		t.Errorf("by version 1 a request is answered with %q, want BUSY 300", answer)
 	}
 	if answer := putRules(t, rig, 4, 0, `(rules (out s0))`); !strings.Contains(answer, "refused: it was made against version 0, and 1 is active") {
-		t.Errorf("a change against version 0 is answered with %q", answer)
+		t.Errorf("a change against version 0 is answered with %q, want that it is refused since version 1 is active", answer)
 	}
 	if answer := putRules(t, rig, 4, 1, `(rules (refuse a) (refuse b))`); !strings.HasPrefix(answer, "1 ") {
 		t.Errorf("rules with two entries of one kind are answered with %q, want exit status 1", answer)
 	}
 }
 
-// killPublisher kills the owner of the rules' job while a change is on its way, and gives the decisions of the killed process.
+// killPublisher kills and restarts the owner of the rules' job while a change is in progress. It
+// returns the decisions that the killed process had made.
 func killPublisher(t *testing.T, rig *experiment.Rig, load *rulesLoad) []ruleDecision {
 	t.Helper()
 	owners, _ := rig.JobOwners()
@@ -118,7 +124,8 @@
 	return beforeKill
 }
 
-// checkRuleDecisions checks the promise over the decisions of all processes.
+// checkRuleDecisions checks that no two versions were applied at once for more than a second, over
+// the decisions of all processes.
 func checkRuleDecisions(t *testing.T, rig *experiment.Rig, ofKilledProcess []ruleDecision) {
 	t.Helper()
 	all := [][]ruleDecision{ofKilledProcess}
@@ -128,17 +135,18 @@
 		n += len(all[len(all)-1])
 	}
 	overlap := longestOverlap(all)
-	t.Logf("%d decisions, two versions side by side for %v at most", n, overlap)
+	t.Logf("%d decisions, two versions applied at once for at most %v", n, overlap)
 	if overlap > time.Second {
-		t.Errorf("two versions in use side by side for %v, want at most 1 s", overlap)
+		t.Errorf("two versions were applied at once for %v, want at most 1 s", overlap)
 	}
 	if n < 100 {
-		t.Errorf("%d decisions are too few to show anything", n)
+		t.Errorf("%d decisions are logged, want 100 or more", n)
 	}
 }
 
-// TestRulesSurviveKillOfAllProcesses: every process is killed in the middle of a change. With votes on disks the version that was active is so again; the
-// change is either made or not, the same everywhere.
+// TestRulesSurviveKillOfAllProcesses checks that after all processes were killed during a change,
+// with votes on disk, either the previous version or the changed one is active, and the same one at
+// all processes.
 func TestRulesSurviveKillOfAllProcesses(t *testing.T) {
 	t.Parallel()
 	rig := startRulesRig(t, ` (dir "DIR")`)
@@ -161,14 +169,15 @@
 	}
 	version := waitOneActiveVersion(t, rig, 3)
 	if version < 1 || version > 2 {
-		t.Fatalf("after all were killed version %d is active, want 1 or 2", version)
+		t.Fatalf("after all processes were killed version %d is active, want 1 or 2", version)
 	}
 	for i := range rig.Procs {
 		checkAnswersByVersion(t, rig, i, version)
 	}
 }
 
-// waitOneActiveVersion waits until a process says that one version is active at all five and none is on its way, and gives that version.
+// waitOneActiveVersion waits until process i answers that one version is active at all five
+// processes and no other is in progress. It returns that version.
 func waitOneActiveVersion(t *testing.T, rig *experiment.Rig, i int) (version int) {
 	t.Helper()
 	answer := ""
@@ -178,22 +187,24 @@
 		n, _ := fmt.Sscanf(answer, "active: version %d at 5 of 5", &version)
 		return n == 1 && !strings.Contains(answer, "on its way")
 	}); !ok {
-		t.Fatalf("n%d says %q, want one version that is active at 5 of 5", i, answer)
+		t.Fatalf("n%d answers %q, want one version that is active at 5 of 5", i, answer)
 	}
 	return version
 }
 
-// checkAnswersByVersion checks that a process answers by a version: version 1 rejects all.
+// checkAnswersByVersion checks that process i answers a request by a version. Version 1 is
+// rejectAll.
 func checkAnswersByVersion(t *testing.T, rig *experiment.Rig, i, version int) {
 	t.Helper()
 	waitActivated(t, rig, i, version)
-	// A process that was starved for a second has no lease for a moment, and answers BUSY 1000: it is asked again.
+	// Retries while the answer is BUSY 1000: a process that got no CPU for a second has no lease
+	// for a moment.
 	answer := ""
 	for n := 0; n < 1000 && (answer == "" || answer == "BUSY 1000"); n++ {
 		answer = requestAnswer(rig.Procs[i].Addr, fmt.Sprintf("feed%04x%08x", n, i))
 		time.Sleep(20 * time.Millisecond)
 	}
 	if rejected := answer == "BUSY 300"; rejected != (version == 1) {
-		t.Errorf("version %d is active, and n%d answers %q", version, i, answer)
+		t.Errorf("version %d is active and n%d answers %q, want BUSY 300 by version 1 alone", version, i, answer)
 	}
 }
--- a/internal/app/command/ruleschange.go
+++ b/internal/app/command/ruleschange.go
@@ -14,7 +14,8 @@
 	"croftlock/internal/operations/settings"
 )
 
-// changeCommand has c propose a change, which change makes from the argument and the number of the version that it is made against.
+// changeCommand makes c propose a change and returns c. The function change builds the change from
+// the command's argument and the number of the version that the change is based on.
 func (f *fleetClient) changeCommand(c *cobra.Command, change func(arg string, against uint64) (*rules.Change, error)) *cobra.Command {
 	var against uint64
 	var keyPath string
@@ -55,7 +56,8 @@
 		})
 }
 
-// readChange reads the one section of a file with a change.
+// readChange reads the file of a change, which must have exactly one section, and returns that
+// section's value.
 func readChange(path string) (any, error) {
 	file, err := settings.Schema{rules.Section(), namespace.Section(), namespace.AccountSection()}.Load(path)
 	if err != nil {
@@ -88,7 +90,7 @@
 		})
 }
 
-// grantKey reads the private key of a grant.
+// grantKey reads the Ed25519 private key that a grant names.
 func grantKey(path string) (ed25519.PrivateKey, error) {
 	k, err := certs.LoadKey(path, "")
 	if err != nil {
@@ -101,7 +103,8 @@
 	return key, nil
 }
 
-// sign signs a change if a key file is named. A signed change has an ID of its own.
+// sign gives a change an ID and signs it with the key in the file path. It does nothing if path is
+// empty: the change is then the operators'.
 func sign(c *rules.Change, path string) error {
 	if path == "" {
 		return nil
--- a/internal/app/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -17,7 +17,8 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// startRulesRig starts five processes that agree on rules within a second; three vote. extra goes into the settings section.
+// startRulesRig starts five processes, three of them voters, that agree on rules with an
+// agree_within of 1 s. extra is added to the owners section of the settings file.
 func startRulesRig(t *testing.T, extra string) *experiment.Rig {
 	t.Helper()
 	rigSlots <- struct{}{}
@@ -31,7 +32,8 @@
 	return rig
 }
 
-// ruleDecision is a line of a process's log: the checker knows nothing else of the program.
+// ruleDecision is a decision on a request in a process's log. The checks of overlaps use only the
+// log.
 type ruleDecision struct {
 	at      time.Time
 	version int
@@ -43,7 +45,7 @@
 	ruleDecisionLine = regexp.MustCompile(`version=(\d+) lapsed=(true|false)`)
 )
 
-// loggedAt is when a line was written.
+// loggedAt returns the time of a line of a log.
 func loggedAt(t *testing.T, line string) time.Time {
 	t.Helper()
 	at, err := time.Parse("2006/01/02 15:04:05.000000", logTimestamp.FindString(line))
@@ -53,6 +55,7 @@
 	return at
 }
 
+// ruleDecisions returns the decisions in a process's log.
 func ruleDecisions(t *testing.T, p *experiment.Process) (all []ruleDecision) {
 	t.Helper()
 	for _, line := range p.LogLines("event=rules_applied") {
@@ -66,7 +69,9 @@
 	return all
 }
 
-// longestOverlap is how long after the first decision by a newer version, at any process, one decided by an older version.
+// longestOverlap returns the longest time from the first decision by a version, at any process, to
+// a decision by an older version. Decisions without a lease do not count. It returns 0 if there is
+// no overlap.
 func longestOverlap(byProcess [][]ruleDecision) (longest time.Duration) {
 	var decisions []ruleDecision
 	for _, ofProcess := range byProcess {
@@ -76,7 +81,7 @@
 			}
 		}
 	}
-	firstUse := map[int]time.Time{} // by version
+	firstUse := map[int]time.Time{} // time of the first decision, by version
 	for _, d := range decisions {
 		if at, seen := firstUse[d.version]; !seen || d.at.Before(at) {
 			firstUse[d.version] = d.at
@@ -92,7 +97,8 @@
 	return longest
 }
 
-// waitActive waits until a process says that a version is active at so many.
+// waitActive waits until process i answers that a version is active at the given number of
+// processes.
 func waitActive(t *testing.T, rig *experiment.Rig, i, version, at int) {
 	t.Helper()
 	want := fmt.Sprintf("active: version %d at %d of 5", version, at)
@@ -106,8 +112,9 @@
 	}
 }
 
-// waitActivated waits until a process acts by a version, as its own log says. The answer "active: version N at 5 of 5" counts who holds a lease:
-// a lease by the version before may go on for the time of agreement.
+// waitActivated waits until the log of process i reports that it acts by a version. The answer
+// "active: version N at 5 of 5" is not enough: it counts the processes with a lease, and a lease
+// for the previous version may continue for agree_within.
 func waitActivated(t *testing.T, rig *experiment.Rig, i, version int) {
 	t.Helper()
 	want := fmt.Sprintf("version=%d ", version)
@@ -118,11 +125,12 @@
 		}
 		return strings.Contains(last, want)
 	}); !ok {
-		t.Fatalf("n%d does not act by version %d: %q", i, version, last)
+		t.Fatalf("n%d does not act by version %d within %v; its last event=rules_activated: %q", i, version, recoveryTimeout, last)
 	}
 }
 
-// putRules puts a change by way of a process, as an administrator does, and gives exit status and output.
+// putRules runs the command rules put with a change, at the socket of the process via. It returns
+// the exit status and the output, separated by a blank.
 func putRules(t *testing.T, rig *experiment.Rig, via, against int, text string, flags ...string) string {
 	t.Helper()
 	path := filepath.Join(rig.Dir(via), fmt.Sprintf("rules-%d-%d.sexp", against, len(text)))
@@ -134,7 +142,7 @@
 	return fmt.Sprintf("%d %s", status, out)
 }
 
-// putRulesUntil is putRules until the answer has a text.
+// putRulesUntil repeats putRules until the result contains want.
 func putRulesUntil(t *testing.T, rig *experiment.Rig, via, against int, text, want string) {
 	t.Helper()
 	answer := ""
@@ -146,7 +154,8 @@
 	}
 }
 
-// requestAnswer sends a request for a connection and gives the answer; "" where there was none.
+// requestAnswer sends a request for a connection to addr and returns the answer line, or "" if
+// there was none within 5 s.
 func requestAnswer(addr, id string) string {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -159,15 +168,15 @@
 	return strings.TrimSpace(line)
 }
 
-// putUntilAnswered is putRules until the outcome is known: an answer may be lost, or the publisher has just changed. A change that is put
-// twice is made once.
+// putUntilAnswered repeats putRules until the outcome is known, because an answer may be lost and
+// the publisher may have just changed. A change that is put repeatedly is made only once.
 func putUntilAnswered(t *testing.T, rig *experiment.Rig, via, against int, text string, flags ...string) (answer string) {
 	t.Helper()
 	if _, ok := experiment.AwaitCondition(2*recoveryTimeout, func() bool {
 		answer = putRules(t, rig, via, against, text, flags...)
 		return !strings.Contains(answer, "unknown") && !strings.Contains(answer, "ask again")
 	}); !ok {
-		t.Errorf("rules against version %d have no outcome: %q", against, answer)
+		t.Errorf("rules against version %d have no known outcome within %v; the last answer is %q", against, 2*recoveryTimeout, answer)
 	}
 	return answer
 }
--- a/internal/app/command/tls_test.go
+++ b/internal/app/command/tls_test.go
@@ -15,14 +15,15 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// tlsTest is a proxy with TLS to two servers: s1 with a valid certificate, s2 with one for another name.
+// tlsTest is a proxy that connects with TLS to two servers: s1 with a valid certificate, and s2
+// with one for another name.
 type tlsTest struct {
 	*testing.T
-	dir       string // of the proxy's files
+	dir       string // directory of the proxy's files
 	pki       *fake.PKI
-	trust     string // path of the bundle of authorities
-	settings  string // path of the settings file
-	wrongName *fake.Server
+	trust     string       // path of the file with the trusted authorities
+	settings  string       // path of the settings file
+	wrongName *fake.Server // s2
 	proxy     *experiment.Process
 }
 
@@ -84,7 +85,7 @@
 	}
 }
 
-// await waits for a text in the proxy's log.
+// await waits up to 20 s for a text in the proxy's log.
 func (s *tlsTest) await(text string) {
 	s.Helper()
 	if !s.proxy.AwaitLog(text, 20*time.Second) {
@@ -92,14 +93,15 @@
 	}
 }
 
-// TestServesByTLS: the server with a valid certificate serves, and the one with the wrong name is sent no request. Files that cannot be used are
-// logged and not used after SIGHUP, a new authority is used without a restart, and the proxy shuts down without an error.
+// TestServesByTLS checks that the server with a valid certificate serves and that the one with the
+// wrong name is sent no request. After SIGHUP, files that cannot be used are logged and not used. A
+// new authority is used without a restart, and the proxy shuts down without an error.
 func TestServesByTLS(t *testing.T) {
 	s := newTLSTest(t)
 	established := s.requestUntilFailure()
 	s.await("event=tls_failed host=s2 reason=wrong_name")
 	if n, _ := s.wrongName.Requests(); n > 0 {
-		t.Errorf("%d requests at the server with the wrong name, want 0", n)
+		t.Errorf("%d requests sent to the server with the wrong name, want 0", n)
 	}
 	s.write(s.trust, string(fake.TruncatedPEM(s.pki.Trusted.Root.Cert)))
 	s.proxy.Signal(syscall.SIGHUP)
@@ -112,23 +114,23 @@
 	s.proxy.Signal(syscall.SIGHUP)
 	s.await("event=settings_failed")
 	if _, _, err := established.Exchange("M", 10*time.Second); err != nil {
-		t.Errorf("a line on the established connection after the reloads: %v", err)
+		t.Errorf("a line on the established connection after the reloads: error %v, want an answer", err)
 	}
 	if client, answer, err := fake.Open(s.proxy.Addr, "lab", "", 10*time.Second); client == nil {
 		t.Errorf("a request after the reloads is answered with %+v, error %v; want UP", answer, err)
 	}
 	for _, line := range s.proxy.LogLines("") {
 		if strings.Contains(line, "PRIVATE") || strings.Contains(line, "event=panic") {
-			t.Errorf("a key or a panic in the log: %s", line)
+			t.Errorf("the log contains a private key or a panic: %s", line)
 		}
 	}
 	if err := s.proxy.Stop(); err != nil {
-		t.Errorf("the proxy shuts down with %v", err)
+		t.Errorf("the proxy shuts down with error %v, want none", err)
 	}
 }
 
-// requestUntilFailure sends requests until the decision module has tried both servers. All have to be served by s1; it returns the last one's
-// connection.
+// requestUntilFailure sends requests until the decision module has tried both servers, but at least
+// 8 and at most 100. s1 must serve all of them. It returns the connection of the last one.
 func (s *tlsTest) requestUntilFailure() (established *fake.Client) {
 	s.Helper()
 	for i := 0; i < 8 || i < 100 && len(s.proxy.LogLines("event=tls_failed")) == 0; i++ {
@@ -144,7 +146,8 @@
 	return established
 }
 
-// TestStartFailsWithoutTLSFiles: TLS files that cannot be used end the start, with an error that names the file.
+// TestStartFailsWithoutTLSFiles checks that a start with an unusable TLS file fails with an error
+// that names the file.
 func TestStartFailsWithoutTLSFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "a.sexp")
@@ -155,6 +158,6 @@
 	_, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: "127.0.0.1:1", InitialList: fake.List{Rev: 1, Complete: true, Targets: []fake.Entry{}},
 		Settings: file, Env: asProgram})
 	if err == nil || !strings.Contains(err.Error(), "none.pem") {
-		t.Errorf("the start fails with %v, want an error that names none.pem", err)
+		t.Errorf("the start ends with error %v, want one that names none.pem", err)
 	}
 }
--- a/internal/app/command/watermarks_test.go
+++ b/internal/app/command/watermarks_test.go
@@ -11,12 +11,13 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// watermarkTest is five processes with watermarks, each with a discovery of its own, and clients at each.
+// watermarkTest is a rig of five processes with watermarks, each with a discovery service of its
+// own, and clients at each process.
 type watermarkTest struct {
 	*testing.T
 	rig     *experiment.Rig
-	entries []fake.Entry // of hosts a, b and c
-	lists   []*fake.Discovery
+	entries []fake.Entry      // of hosts a, b and c
+	lists   []*fake.Discovery // by process
 	clients *clientLoop
 }
 
@@ -46,7 +47,7 @@
 	return w
 }
 
-// seesAll returns whether a process sees all others alive.
+// seesAll reports whether process i sees all others alive.
 func (w *watermarkTest) seesAll(i int) bool {
 	report, err := w.rig.RequestMemberReport(i)
 	alive := 0
@@ -58,22 +59,23 @@
 	return err == nil && alive >= len(w.rig.Procs)-1
 }
 
-// waitAt waits until a condition holds waitAt each of the processes; what says what it is.
+// waitAt waits until holds returns true for each of the processes. A failure message contains
+// condition, which describes it.
 func (w *watermarkTest) waitAt(condition string, holds func(i int) bool, processes ...int) {
 	w.Helper()
 	for _, i := range processes {
 		if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool { return holds(i) }); !ok {
-			w.Fatalf("n%d, not within %v: %s", i, recoveryTimeout, condition)
+			w.Fatalf("n%d: not reached within %v: %s", i, recoveryTimeout, condition)
 		}
 	}
 }
 
-// logged returns the condition that a process has logged an event.
+// logged returns a function that reports whether process i has logged an event.
 func (w *watermarkTest) logged(event string) func(i int) bool {
 	return func(i int) bool { return len(w.rig.Procs[i].LogLines(event)) > 0 }
 }
 
-// attemptsAfter counts a process's attempts at a host after a moment, by its log.
+// attemptsAfter returns the number of attempts at a host that process i logged after a time.
 func (w *watermarkTest) attemptsAfter(i int, host string, after time.Time) (n int) {
 	w.Helper()
 	for _, line := range w.rig.Procs[i].LogLines("event=attempt_started ") {
@@ -84,11 +86,12 @@
 	return n
 }
 
-// maxLogDelay is how much later than its decision an attempt may be logged.
+// maxLogDelay is the maximum time between the decision on an attempt and its log line.
 const maxLogDelay = 100 * time.Millisecond
 
-// TestWatermarksAmongProcesses: what one process's list says of a host holds at all processes: at one that was paused, and at one that was cut off
-// once it receives the others' datagrams again. A newer list ends it.
+// TestWatermarksAmongProcesses checks that a host's state in one process's list applies at all
+// processes, including one that was paused, and one that was cut off once it receives datagrams
+// again. A newer list ends a watermark.
 func TestWatermarksAmongProcesses(t *testing.T) {
 	t.Parallel()
 	w := newWatermarkTest(t)
@@ -104,7 +107,8 @@
 	}
 }
 
-// drainOfOneList: only n0's list says that a drains, while n4 is cut off and n3 paused.
+// drainOfOneList makes host a drain in n0's list only, while n4 is cut off and n3 is paused. The
+// others must stop attempts at a when they receive the watermark.
 func (w *watermarkTest) drainOfOneList() {
 	w.Helper()
 	applied := w.logged("event=watermark_applied host=a state=draining")
@@ -118,8 +122,8 @@
 	w.waitAt("after its pause it applies the watermark that a drains", applied, 3)
 	appliedByThree := time.Now().UTC()
 	w.waitAt("it fetches its list again", w.logged("event=list_behind"), 1, 2, 3)
-	// A watermark does not hold where it cannot be sent.
-	w.waitAt("cut off, it goes on with attempts at a", func(i int) bool { return w.attemptsAfter(i, "a", appliedByThree) > 3 }, 4)
+	// A watermark does not apply at a process that it cannot reach.
+	w.waitAt("it continues attempts at a while it is cut off", func(i int) bool { return w.attemptsAfter(i, "a", appliedByThree) > 3 }, 4)
 	w.rig.SetCutOff(4, false)
 	w.waitAt("after the cut it applies the watermark that a drains", applied, 4)
 	appliedByAll := time.Now().UTC()
@@ -130,12 +134,13 @@
 			since = appliedByAll
 		}
 		if n := w.attemptsAfter(i, "a", since.Add(maxLogDelay)); n > 0 {
-			w.Errorf("n%d: %d attempts at a after it applied the watermark", i, n)
+			w.Errorf("n%d: %d attempts at a after it applied the watermark, want 0", i, n)
 		}
 	}
 }
 
-// returnOfDrainedHost: the other lists catch up, and then list a with a new start. Watermarks exclude it no more.
+// returnOfDrainedHost updates the other lists and then lists host a with a new start in all of
+// them. Watermarks must not exclude it any more.
 func (w *watermarkTest) returnOfDrainedHost() {
 	w.Helper()
 	for _, d := range w.lists[1:] {
@@ -150,7 +155,8 @@
 	w.waitAt("a is up again and gets attempts", func(i int) bool { return w.attemptsAfter(i, "a", listedAt) > 0 }, 0, 1, 2, 3, 4)
 }
 
-// removalWithDiscoveryDown: n2, whose discovery is down, applies the others' watermark that b is removed.
+// removalWithDiscoveryDown removes host b from all lists but n2's, whose discovery is down. n2 must
+// apply the others' watermark.
 func (w *watermarkTest) removalWithDiscoveryDown() {
 	w.Helper()
 	w.lists[2].SetDown(true)
@@ -163,6 +169,6 @@
 	appliedAt := time.Now().UTC()
 	time.Sleep(500 * time.Millisecond)
 	if n := w.attemptsAfter(2, "b", appliedAt.Add(maxLogDelay)); n > 0 {
-		w.Errorf("n2: %d attempts at b after it applied the watermark", n)
+		w.Errorf("n2: %d attempts at b after it applied the watermark, want 0", n)
 	}
 }
