--- a/internal/testbed/experiment/soak/clients.go
+++ b/internal/testbed/experiment/soak/clients.go
@@ -8,20 +8,20 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// playClients starts clients of a proxy at the rate, without waiting for the earlier ones, until the given time.
-func (f *Fleet) playClients(n *Node, until time.Time, rng *rand.Rand) {
+// runClients starts clients of a proxy at the rate, without waiting for the earlier ones, until the given time.
+func (f *Fleet) runClients(n *Node, until time.Time, rng *rand.Rand) {
 	defer f.workers.Done()
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(rng.ExpFloat64() / f.options.Rate * 1e9))
 		process := n.Current()
-		if process == nil || process.stoppedFor(frontNoticeDelay) {
+		if process == nil || process.stoppedLongerThan(frontNoticeDelay) {
 			continue // the front sends no clients there
 		}
 		f.workers.Add(1)
-		kind, seed := clientKind(rng.IntN(clientKinds)), rng.Uint64()
+		kind, seed := clientKind(rng.IntN(clientKindRange)), rng.Uint64()
 		go func() {
 			defer f.workers.Done()
-			f.playClient(process, kind, rand.New(rand.NewPCG(seed, 1)))
+			f.runClient(process, kind, rand.New(rand.NewPCG(seed, 1)))
 		}()
 	}
 }
@@ -29,8 +29,8 @@
 // frontNoticeDelay is how long after its SIGTERM the front still sends a process new connections.
 const frontNoticeDelay = 350 * time.Millisecond
 
-// stoppedFor returns whether the process got SIGTERM longer ago than d, or has ended.
-func (p *incarnation) stoppedFor(d time.Duration) bool {
+// stoppedLongerThan returns whether the process got SIGTERM longer ago than d, or has ended.
+func (p *proxyProcess) stoppedLongerThan(d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.stoppedAt.IsZero() && time.Since(p.stoppedAt) > d || !p.killedAt.IsZero() || !p.endedAt.IsZero()
@@ -39,21 +39,21 @@
 // clientKind is how a client behaves.
 type clientKind int
 
-// The kinds, each with one chance in clientKinds; the other clients have none of these faults.
+// The kinds, each with one chance in clientKindRange; the other clients have none of these faults.
 const (
 	malformedClient clientKind = iota // sends no valid request
 	delayedClient                     // waits before its request
 	piecewiseClient                   // sends its request line in two parts
 	impatientClient                   // closes its connection early
-	clientKinds     = 20
+	clientKindRange = 20
 )
 
-// playClient plays one client.
-func (f *Fleet) playClient(process *incarnation, kind clientKind, rng *rand.Rand) {
+// runClient plays one client.
+func (f *Fleet) runClient(process *proxyProcess, kind clientKind, rng *rand.Rand) {
 	class := f.classes[rng.IntN(len(f.classes))]
-	request, proxy := drawRequest(class, rng), process.node.setup.Listen
+	request, proxy := randomRequest(class, rng), process.node.setup.Listen
 	if kind == malformedClient {
-		playMalformed(proxy, rng)
+		sendMalformed(proxy, rng)
 		return
 	}
 	c, err := Dial(proxy, request)
@@ -84,8 +84,8 @@
 	}
 }
 
-// drawRequest draws a request of a class; one in five has less than the class's deadline left.
-func drawRequest(class experiment.Class, rng *rand.Rand) Request {
+// randomRequest draws a request of a class; one in five has less than the class's deadline left.
+func randomRequest(class experiment.Class, rng *rand.Rand) Request {
 	wait := class.Deadline
 	if rng.IntN(5) == 0 {
 		wait = time.Duration(1 + rng.Int64N(int64(class.Deadline)))
@@ -94,8 +94,8 @@
 	return Request{Class: class.Name, Timeout: wait, Interval: time.Duration(50+rng.IntN(300)) * time.Millisecond}
 }
 
-// playMalformed sends no valid request: half of a line, then nothing; another protocol; or a long run of zero bytes.
-func playMalformed(addr string, rng *rand.Rand) {
+// sendMalformed sends no valid request: half of a line, then nothing; another protocol; or a long run of zero bytes.
+func sendMalformed(addr string, rng *rand.Rand) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return
--- a/internal/testbed/experiment/soak/command.go
+++ b/internal/testbed/experiment/soak/command.go
@@ -33,7 +33,7 @@
 	c.RunE = func(*cobra.Command, []string) error {
 		violations := 0
 		for first := opt.Seed; opt.Seed < first+seeds; opt.Seed++ {
-			n, err := playOne(program, opt)
+			n, err := runOne(program, opt)
 			if err != nil {
 				return err
 			}
@@ -47,8 +47,8 @@
 	return c
 }
 
-// playOne plays one seed and prints its result. violations also counts errors of the play itself.
-func playOne(program string, opt Options) (violations int, err error) {
+// runOne plays one seed and prints its result. violations also counts errors of the play itself.
+func runOne(program string, opt Options) (violations int, err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return 0, err
--- a/internal/testbed/experiment/soak/faults.go
+++ b/internal/testbed/experiment/soak/faults.go
@@ -11,7 +11,7 @@
 type faultKind struct {
 	name   string
 	weight int
-	play   func(f *Fleet, rng *rand.Rand)
+	inject func(f *Fleet, rng *rand.Rand)
 }
 
 var faultKinds = []faultKind{
@@ -31,32 +31,32 @@
 	}},
 	{"hang", 5, func(f *Fleet, rng *rand.Rand) {
 		undo := f.hangHosts(rng, 1+rng.IntN(len(f.Hosts())))
-		time.Sleep(randomSpan(rng, 300, 4000))
+		time.Sleep(randomDuration(rng, 300, 4000))
 		undo()
 	}},
 	{"slow", 4, func(f *Fleet, rng *rand.Rand) {
 		h := f.randomHost(rng)
-		h.slow.Store(int64(randomSpan(rng, 50, 1500)))
-		time.Sleep(randomSpan(rng, 500, 4000))
-		h.slow.Store(0)
+		h.acceptDelay.Store(int64(randomDuration(rng, 50, 1500)))
+		time.Sleep(randomDuration(rng, 500, 4000))
+		h.acceptDelay.Store(0)
 	}},
 	{"errors", 3, func(f *Fleet, rng *rand.Rand) {
 		h := f.randomHost(rng)
-		h.fails.Store(true)
-		time.Sleep(randomSpan(rng, 200, 2000))
-		h.fails.Store(false)
+		h.failingRequests.Store(true)
+		time.Sleep(randomDuration(rng, 200, 2000))
+		h.failingRequests.Store(false)
 	}},
 	{"resets", 4, func(f *Fleet, rng *rand.Rand) {
 		h := f.randomHost(rng)
-		h.resets.Store(true)
-		time.Sleep(randomSpan(rng, 200, 2000))
-		h.resets.Store(false)
+		h.resetting.Store(true)
+		time.Sleep(randomDuration(rng, 200, 2000))
+		h.resetting.Store(false)
 	}},
 	{"reset-established", 3, func(f *Fleet, rng *rand.Rand) { f.randomHost(rng).ResetEveryNth(1 + rng.IntN(4)) }},
 	{"host-restart", 3, func(f *Fleet, rng *rand.Rand) {
 		h := f.randomHost(rng)
 		if h.claimed.CompareAndSwap(false, true) {
-			f.recordError(h.Restart(randomSpan(rng, 50, 1500)))
+			f.recordError(h.Restart(randomDuration(rng, 50, 1500)))
 			f.setState(h, "up")
 			h.claimed.Store(false)
 		}
@@ -69,7 +69,7 @@
 		f.faultDiscoveries(rng, 300, 5000, func(n *Node, k int, on bool) { n.discovery[k].SetSilent(on) })
 	}},
 	{"discovery-slow", 3, func(f *Fleet, rng *rand.Rand) {
-		by := randomSpan(rng, 200, 1900)
+		by := randomDuration(rng, 200, 1900)
 		f.faultDiscoveries(rng, 1000, 5000, func(n *Node, k int, on bool) {
 			if !on {
 				by = 0
@@ -81,8 +81,8 @@
 	{"reconfigure", 4, (*Fleet).reconfigure},
 }
 
-// randomSpan draws a time from least to most milliseconds.
-func randomSpan(rng *rand.Rand, least, most int) time.Duration {
+// randomDuration draws a time from least to most milliseconds.
+func randomDuration(rng *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+rng.IntN(most-least)) * time.Millisecond
 }
 
@@ -107,15 +107,15 @@
 
 // stopNode shuts a process down and starts the next one.
 func (f *Fleet) stopNode(n *Node, rng *rand.Rand) error {
-	n.Current().stop(f.longestDeadline(), f.stallMeter.value())
-	time.Sleep(randomSpan(rng, 10, 400))
+	n.Current().stop(f.longestDeadline(), f.stallMeter.longestStall())
+	time.Sleep(randomDuration(rng, 10, 400))
 	return n.start()
 }
 
 // killNode kills a process and starts the next one.
 func (f *Fleet) killNode(n *Node, rng *rand.Rand) error {
 	n.Current().kill()
-	time.Sleep(randomSpan(rng, 10, 1500))
+	time.Sleep(randomDuration(rng, 10, 1500))
 	return n.start()
 }
 
@@ -129,8 +129,8 @@
 	old.mu.Lock()
 	old.successor = next
 	old.mu.Unlock()
-	time.Sleep(randomSpan(rng, 0, 3000))
-	old.stop(f.longestDeadline(), f.stallMeter.value())
+	time.Sleep(randomDuration(rng, 0, 3000))
+	old.stop(f.longestDeadline(), f.stallMeter.longestStall())
 	return nil
 }
 
@@ -139,12 +139,12 @@
 	var hung []*Host
 	for range n {
 		h := f.randomHost(rng)
-		h.hangs.Store(true)
+		h.hanging.Store(true)
 		hung = append(hung, h)
 	}
 	return func() {
 		for _, h := range hung {
-			h.hangs.Store(false)
+			h.hanging.Store(false)
 		}
 	}
 }
@@ -157,15 +157,15 @@
 	}
 	defer h.claimed.Store(false)
 	f.setState(h, "draining")
-	time.Sleep(randomSpan(rng, 0, 500))
-	h.drains.Store(true)
+	time.Sleep(randomDuration(rng, 0, 500))
+	h.draining.Store(true)
 	h.MigrateClients()
-	time.Sleep(randomSpan(rng, 500, 3000))
+	time.Sleep(randomDuration(rng, 500, 3000))
 	if rng.IntN(2) == 0 {
 		f.setState(h, "removed")
-		f.recordError(h.Restart(randomSpan(rng, 100, 1000)))
+		f.recordError(h.Restart(randomDuration(rng, 100, 1000)))
 	}
-	h.drains.Store(false)
+	h.draining.Store(false)
 	f.setState(h, "up")
 }
 
@@ -178,7 +178,7 @@
 		}
 	}
 	setAll(true)
-	time.Sleep(randomSpan(rng, least, most))
+	time.Sleep(randomDuration(rng, least, most))
 	setAll(false)
 }
 
@@ -200,12 +200,12 @@
 			return
 		}
 		process.proc.Signal(syscall.SIGHUP)
-		time.Sleep(randomSpan(rng, 5, 400))
+		time.Sleep(randomDuration(rng, 5, 400))
 	}
 }
 
-// drawFault draws a fault, by the kinds' weights.
-func drawFault(rng *rand.Rand) faultKind {
+// randomFaultKind draws a fault, by the kinds' weights.
+func randomFaultKind(rng *rand.Rand) faultKind {
 	sum := 0
 	for _, kind := range faultKinds {
 		sum += kind.weight
@@ -219,19 +219,19 @@
 	panic("unreachable")
 }
 
-// playFaults starts faults at drawn moments, without waiting for the earlier ones.
-func (f *Fleet) playFaults(until time.Time, rng *rand.Rand, recordFault func(string)) {
+// injectFaults starts faults at drawn moments, without waiting for the earlier ones.
+func (f *Fleet) injectFaults(until time.Time, rng *rand.Rand, recordFault func(string)) {
 	defer f.workers.Done()
 	total := time.Until(until)
 	for i := range f.options.FaultCount {
-		kind, seed := drawFault(rng), rng.Uint64()
+		kind, seed := randomFaultKind(rng), rng.Uint64()
 		at := time.Duration(rng.Float64() * float64(total))
 		f.workers.Add(1)
 		go func() {
 			defer f.workers.Done()
 			time.Sleep(at)
 			recordFault(fmt.Sprintf("%.3f fault %d %s", at.Seconds(), i, kind.name))
-			kind.play(f, rand.New(rand.NewPCG(seed, 2)))
+			kind.inject(f, rand.New(rand.NewPCG(seed, 2)))
 		}()
 	}
 }
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -35,16 +35,16 @@
 
 // Fleet is the proxies of one play with their hosts, discoveries and clients.
 type Fleet struct {
-	options    Options
-	env        *experiment.Env
-	rng        *rand.Rand // draws the deadlines
-	clocks     *rand.Rand // draws the clocks' offsets; protected by mu
-	record     *Record
-	classes    []experiment.Class
-	shims      []*Shim // by proxy; none: no system calls fail
-	nodes      []*Node
-	stallMeter *stallMeter
-	workers    sync.WaitGroup // clients and faults
+	options     Options
+	env         *experiment.Env
+	deadlineRNG *rand.Rand // draws the deadlines
+	clockRNG    *rand.Rand // draws the clocks' offsets; protected by mu
+	record      *Record
+	classes     []experiment.Class
+	shims       []*Shim // by proxy; none: no system calls fail
+	nodes       []*Node
+	stallMeter  *stallMeter
+	workers     sync.WaitGroup // clients and faults
 
 	mu       sync.Mutex // protects what follows
 	hosts    []*Host
@@ -59,10 +59,10 @@
 func NewFleet(env *experiment.Env, opt Options) (*Fleet, error) {
 	fleetCount++
 	f := &Fleet{options: opt, env: env, record: NewRecord(), stallMeter: newStallMeter(),
-		rng: rand.New(rand.NewPCG(opt.Seed, 38)), clocks: rand.New(rand.NewPCG(opt.Seed, 39))}
-	f.classes = drawClasses(f.rng)
+		deadlineRNG: rand.New(rand.NewPCG(opt.Seed, 38)), clockRNG: rand.New(rand.NewPCG(opt.Seed, 39))}
+	f.classes = randomClasses(f.deadlineRNG)
 	for i := range opt.Hosts {
-		h, err := NewHost(fmt.Sprintf("s-%d", i), zone(i), f.address(hostAddress, i), f.record)
+		h, err := NewHost(fmt.Sprintf("s-%d", i), zoneOf(i), f.address(hostAddress, i), f.record)
 		if err != nil {
 			return nil, err
 		}
@@ -76,8 +76,8 @@
 	return f, nil
 }
 
-// drawClasses draws the three classes' deadlines; the first is the longest.
-func drawClasses(rng *rand.Rand) []experiment.Class {
+// randomClasses draws the three classes' deadlines; the first is the longest.
+func randomClasses(rng *rand.Rand) []experiment.Class {
 	const ms = time.Millisecond
 	longest := []time.Duration{400 * ms, 1000 * ms, 2000 * ms, 3000 * ms, 4800 * ms, 9000 * ms}[rng.IntN(6)]
 	return []experiment.Class{
@@ -87,8 +87,8 @@
 	}
 }
 
-// zone is the zone of host i: the hosts are spread over three.
-func zone(i int) string { return []string{"a", "b", "c"}[i%3] }
+// zoneOf is the zone of host i: the hosts are spread over three.
+func zoneOf(i int) string { return []string{"a", "b", "c"}[i%3] }
 
 // The kinds of addresses: each has a range of its own.
 const (
@@ -155,7 +155,7 @@
 // launch starts a proxy's process, behind its shim where it has one.
 func (f *Fleet) launch(s experiment.Setup, number int) (*experiment.Process, error) {
 	if f.options.SkewClocks {
-		s.Env = append(s.Env[:len(s.Env):len(s.Env)], f.drawClock())
+		s.Env = append(s.Env[:len(s.Env):len(s.Env)], f.randomClockSkew())
 	}
 	if !f.options.FailSystemCalls {
 		return f.env.Proxy(s)
@@ -191,7 +191,7 @@
 // Close ends all processes and fakes.
 func (f *Fleet) Close() {
 	for _, n := range f.nodes {
-		for _, process := range n.incarnations {
+		for _, process := range n.processes {
 			if process.proc != nil {
 				process.proc.Kill()
 			}
--- a/internal/testbed/experiment/soak/host.go
+++ b/internal/testbed/experiment/soak/host.go
@@ -19,12 +19,12 @@
 	addr   string
 	record *Record
 
-	hangs  atomic.Bool  // it reads and does not answer
-	resets atomic.Bool  // it resets each connection on its request line
-	fails  atomic.Bool  // it answers ERR
-	drains atomic.Bool  // it rejects new requests
-	slow   atomic.Int64 // delay of an acceptance, nanoseconds
-	booted atomic.Int64 // its start, Unix milliseconds; 0: unknown
+	hanging         atomic.Bool  // it reads and does not answer
+	resetting       atomic.Bool  // it resets each connection on its request line
+	failingRequests atomic.Bool  // it answers ERR
+	draining        atomic.Bool  // it rejects new requests
+	acceptDelay     atomic.Int64 // delay of an acceptance, nanoseconds
+	startedAtMS     atomic.Int64 // its start, Unix milliseconds; 0: unknown
 
 	claimed atomic.Bool // a fault that changes its state in the lists is in progress
 
@@ -67,14 +67,14 @@
 func (h *Host) Restart(down time.Duration) error {
 	h.Crash()
 	time.Sleep(down)
-	h.hangs.Store(false)
-	h.booted.Store(time.Now().UnixMilli())
+	h.hanging.Store(false)
+	h.startedAtMS.Store(time.Now().UnixMilli())
 	return h.Listen()
 }
 
 // Entry is the host in an endpoint list.
 func (h *Host) Entry(state string) fake.Entry {
-	return fake.Entry{UID: h.UID, Endpoint: h.addr, Zone: h.Zone, Model: "type-a", State: state, Weight: 1, BootMS: h.booted.Load()}
+	return fake.Entry{UID: h.UID, Endpoint: h.addr, Zone: h.Zone, Model: "type-a", State: state, Weight: 1, BootMS: h.startedAtMS.Load()}
 }
 
 // MigrateClients migrates all its clients, as a draining host does.
@@ -139,7 +139,7 @@
 		return
 	}
 	for line := range lines {
-		if !h.hangs.Load() {
+		if !h.hanging.Load() {
 			fmt.Fprint(c, "GOT "+line)
 		}
 	}
@@ -161,27 +161,27 @@
 // answer answers a request, and returns whether the connection goes on.
 func (h *Host) answer(c net.Conn, a *hostAttempt, lines <-chan string) bool {
 	switch {
-	case h.drains.Load():
+	case h.draining.Load():
 		a.recordAnswer(Rejected)
 		fmt.Fprint(c, "BUSY\r\n")
 		return false
-	case h.resets.Load():
+	case h.resetting.Load():
 		a.recordEnd(hostSide)
 		fake.Reset(c)
 		return false
-	case h.fails.Load():
+	case h.failingRequests.Load():
 		a.recordAnswer(Failed)
 		fmt.Fprint(c, "ERR\r\n")
 		return false
 	}
-	if wait := time.Duration(h.slow.Load()); wait > 0 {
+	if wait := time.Duration(h.acceptDelay.Load()); wait > 0 {
 		select {
 		case <-lines: // the proxy has closed the connection, or sends a line too early
 			return false
 		case <-time.After(wait):
 		}
 	}
-	for h.hangs.Load() {
+	for h.hanging.Load() {
 		select {
 		case <-lines:
 			return false
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -17,10 +17,10 @@
 	discovery       [2]*fake.Discovery // the configuration names one; a reconfiguration changes to the other
 	activeDiscovery int                // index of the one that the configuration names
 
-	mu           sync.Mutex
-	current      *incarnation
-	incarnations []*incarnation
-	suspensions  []*suspension
+	mu          sync.Mutex
+	current     *proxyProcess
+	processes   []*proxyProcess
+	suspensions []*suspension
 
 	knownEntries  map[string]fake.Entry // as last written to the proxy, by the host's ID
 	knownRevision int64
@@ -29,7 +29,7 @@
 }
 
 // Current is the process that was started last and got ready; nil: none yet.
-func (n *Node) Current() *incarnation {
+func (n *Node) Current() *proxyProcess {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current
@@ -62,10 +62,10 @@
 		}
 		setup.Admin = admin
 	}
-	process := &incarnation{node: n, admin: setup.Admin, name: fmt.Sprintf("n%d.%d", n.number, len(n.incarnations)), startedAt: time.Now()}
-	n.recordList([]*incarnation{process}, setup.InitialList, "its configuration")
+	process := &proxyProcess{node: n, admin: setup.Admin, name: fmt.Sprintf("n%d.%d", n.number, len(n.processes)), startedAt: time.Now()}
+	n.recordList([]*proxyProcess{process}, setup.InitialList, "its configuration")
 	n.mu.Lock()
-	n.incarnations = append(n.incarnations, process) // before it is ready: lists are written to it from its first call on
+	n.processes = append(n.processes, process) // before it is ready: lists are written to it from its first call on
 	n.mu.Unlock()
 	var err error
 	if process.proc, err = n.fleet.launch(setup, n.number); err != nil {
@@ -110,10 +110,10 @@
 
 // running are the proxy's processes that have not ended: two during a hot restart. They are one proxy: a list written to one counts as
 // written to both.
-func (n *Node) running() (processes []*incarnation) {
+func (n *Node) running() (processes []*proxyProcess) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, process := range n.incarnations {
+	for _, process := range n.processes {
 		if !process.hasEnded() {
 			processes = append(processes, process)
 		}
@@ -122,14 +122,14 @@
 }
 
 // recordList records, for each of the processes, a list that was written to the proxy.
-func (n *Node) recordList(processes []*incarnation, list fake.List, source string) {
+func (n *Node) recordList(processes []*proxyProcess, list fake.List, source string) {
 	for _, process := range processes {
 		n.recordListFor(process, list, source)
 	}
 }
 
 // recordListFor records a list for one process; a host that is missing from a complete list is removed.
-func (n *Node) recordListFor(process *incarnation, list fake.List, source string) {
+func (n *Node) recordListFor(process *proxyProcess, list fake.List, source string) {
 	writtenAt, named := time.Now(), map[string]bool{}
 	for _, entry := range list.Targets {
 		named[entry.UID] = true
--- a/internal/testbed/experiment/soak/oracle.go
+++ b/internal/testbed/experiment/soak/oracle.go
@@ -40,13 +40,13 @@
 // clientRequest is one client's request at one process of a proxy.
 type clientRequest struct {
 	*ClientConnection
-	process *incarnation
+	process *proxyProcess
 	class   experiment.Class
 }
 
 // String identifies the request in violations.
 func (r *clientRequest) String() string {
-	return fmt.Sprintf("%s %s d=%v at %s, sent %s", r.ID, r.class.Name, r.Request.Timeout, r.process.name, r.process.sinceStart(r.Outcome().Sent))
+	return fmt.Sprintf("%s %s d=%v at %s, sent %s", r.ID, r.class.Name, r.Request.Timeout, r.process.name, r.process.secondsSinceStart(r.Outcome().Sent))
 }
 
 // The times that the rules allow, and those that a stalled proxy adds.
@@ -65,8 +65,8 @@
 	violations []Violation
 }
 
-// violate adds a violation of a rule.
-func (o *oracle) violate(rule Rule, format string, args ...any) {
+// addViolation adds a violation of a rule.
+func (o *oracle) addViolation(rule Rule, format string, args ...any) {
 	o.violations = append(o.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
@@ -84,7 +84,7 @@
 	if outcome.Answer == Rejected && r.class.Idempotency == experiment.NonIdempotent {
 		for _, attempt := range attempts {
 			if answer := attempt.current().answer; answer != Rejected {
-				o.violate(RejectedAfterRun, "%s: rejected, and %s has received it and answered %q", r, attempt.host, answer)
+				o.addViolation(RejectedAfterRun, "%s: rejected, and %s has received it and answered %q", r, attempt.host, answer)
 			}
 		}
 	}
@@ -94,30 +94,30 @@
 func (o *oracle) checkAttemptAllowed(r *clientRequest, outcome Outcome, attempt *hostAttempt) {
 	sinceClose := attempt.receivedAt.Sub(outcome.EndedAt)
 	if outcome.End == ClientClosed && outcome.Answer == Unanswered && sinceClose > clientCloseGrace+proxyDelay+o.slack {
-		o.violate(AttemptAfterClose, "%s: at %s %v after its client closed the connection", r, attempt.host, sinceClose)
+		o.addViolation(AttemptAfterClose, "%s: at %s %v after its client closed the connection", r, attempt.host, sinceClose)
 	}
 	from, suspended := r.process.node.suspendedSince(attempt.host, attempt.receivedAt)
 	if late := attempt.receivedAt.Sub(from); suspended && late > suspensionGrace+proxyDelay+o.slack {
-		o.violate(SuspendedHostUsed, "%s: at %s %v after operators suspended it; %s", r, attempt.host, late, r.process)
+		o.addViolation(SuspendedHostUsed, "%s: at %s %v after operators suspended it; %s", r, attempt.host, late, r.process)
 	}
 	notice, excluded := o.record.excludedSince(r.process.latestSuccessor(), attempt.host, attempt.receivedAt)
 	if late := attempt.receivedAt.Sub(notice.writtenAt); excluded && late > drainGrace+proxyDelay+o.slack {
-		o.violate(ExcludedHostUsed, "%s: at %s %v after its proxy was sent state %s by %s; %s", r, attempt.host, late, notice.state, notice.source, r.process)
+		o.addViolation(ExcludedHostUsed, "%s: at %s %v after its proxy was sent state %s by %s; %s", r, attempt.host, late, notice.state, notice.source, r.process)
 	}
 }
 
 // checkAnswer checks whether the request has its answer in time. A process that was killed outright answers nothing any more.
 func (o *oracle) checkAnswer(r *clientRequest, outcome Outcome) {
-	due := outcome.Sent.Add(r.Request.Timeout + answerGrace + o.slack + r.process.pausedFor())
+	due := outcome.Sent.Add(r.Request.Timeout + answerGrace + o.slack + r.process.totalPause())
 	switch {
 	case outcome.Answer != Unanswered:
 		if outcome.AnsweredAt.After(due) {
-			o.violate(UnansweredInTime, "%s: answered %v after it was sent", r, outcome.AnsweredAt.Sub(outcome.Sent))
+			o.addViolation(UnansweredInTime, "%s: answered %v after it was sent", r, outcome.AnsweredAt.Sub(outcome.Sent))
 		}
 	case outcome.End == ClientClosed, r.process.wasKilledBefore(due):
 	case outcome.End == Open && time.Now().Before(due):
 	default:
-		o.violate(UnansweredInTime, "%s: no answer, connection %q %v after; %s", r, outcome.End, outcome.EndedAt.Sub(outcome.Sent), r.process)
+		o.addViolation(UnansweredInTime, "%s: no answer, connection %q %v after; %s", r, outcome.End, outcome.EndedAt.Sub(outcome.Sent), r.process)
 	}
 }
 
@@ -129,15 +129,15 @@
 	switch outcome.End {
 	case Open:
 		if r.process.latestSuccessor().hasEnded() {
-			o.violate(ConnectionAbandoned, "%s: still open when its process ended; %s", r, r.process.latestSuccessor())
+			o.addViolation(ConnectionAbandoned, "%s: still open when its process ended; %s", r, r.process.latestSuccessor())
 		}
 	case Closed, Reset:
 		if len(attempts) == 0 {
-			o.violate(ServedByNoHost, "%s", r)
+			o.addViolation(ServedByNoHost, "%s", r)
 			return
 		}
 		if attempts[len(attempts)-1].current().endedBy != hostSide {
-			o.violate(ConnectionCut, "%s: %s without MOVE %v after; %s", r, outcome.End, outcome.EndedAt.Sub(outcome.Sent), r.process)
+			o.addViolation(ConnectionCut, "%s: %s without MOVE %v after; %s", r, outcome.End, outcome.EndedAt.Sub(outcome.Sent), r.process)
 		}
 	}
 }
@@ -149,13 +149,13 @@
 		if i > 0 {
 			previous := attempts[i-1]
 			if state := previous.current(); state.endedBy == "" || state.endedAt.Sub(attempt.receivedAt) > orderSlack+o.slack {
-				o.violate(ConcurrentAttempts, "%s: at %s while it is at %s", r, attempt.host, previous.host)
+				o.addViolation(ConcurrentAttempts, "%s: at %s while it is at %s", r, attempt.host, previous.host)
 			}
 		}
 		if executed != nil {
 			apart := attempt.receivedAt.Sub(executed.receivedAt)
 			if r.class.Idempotency == experiment.NonIdempotent || r.class.Idempotency == experiment.IdempotentByKey && apart > r.class.Window+orderSlack+proxyDelay+o.slack {
-				o.violate(DuplicateExecution, "%s: at %s %v after %s", r, attempt.host, apart, executed.host)
+				o.addViolation(DuplicateExecution, "%s: at %s %v after %s", r, attempt.host, apart, executed.host)
 			}
 		}
 		if executed == nil && attempt.current().answer != Rejected {
@@ -165,19 +165,19 @@
 }
 
 // checkProcess checks a process's log and how it ended.
-func (o *oracle) checkProcess(p *incarnation) {
+func (o *oracle) checkProcess(p *proxyProcess) {
 	for _, line := range p.proc.LogLines("") {
 		if strings.Contains(line, "event=invariant_broken") || strings.Contains(line, "event=panic") {
-			o.violate(OwnCheckFailed, "%s: %s", p.name, line[:min(len(line), 300)])
+			o.addViolation(OwnCheckFailed, "%s: %s", p.name, line[:min(len(line), 300)])
 		}
 	}
-	if p.killedAtLimit {
-		o.violate(NotEndedInTime, "%s did not end by itself; %s", p.name, p)
+	if p.killedAfterTimeout {
+		o.addViolation(NotEndedInTime, "%s did not end by itself; %s", p.name, p)
 	}
 	if p.wasKilled() {
 		return
 	}
 	if err, ended := p.exitError(); ended && err != nil {
-		o.violate(ExitStatus, "%s: %v; %s", p.name, err, p)
+		o.addViolation(ExitStatus, "%s: %v; %s", p.name, err, p)
 	}
 }
--- a/internal/testbed/experiment/soak/incarnation.go
+++ b/internal/testbed/experiment/soak/process.go
@@ -11,26 +11,26 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// incarnation is one process of a proxy, from its start to its end.
-type incarnation struct {
+// proxyProcess is one process of a proxy, from its start to its end.
+type proxyProcess struct {
 	name      string
 	node      *Node
 	admin     string // where operators call
 	proc      *experiment.Process
 	startedAt time.Time
 
-	mu            sync.Mutex
-	stoppedAt     time.Time // SIGTERM; zero: none
-	killedAt      time.Time // SIGKILL as a fault; zero: none
-	endedAt       time.Time // zero: it runs
-	killedAtLimit bool      // SIGKILL, since it did not end in time after SIGTERM
-	err           error
-	pausedTotal   time.Duration // by SIGSTOP
-	successor     *incarnation  // that took over by a hot restart; nil: none
+	mu                 sync.Mutex
+	stoppedAt          time.Time // SIGTERM; zero: none
+	killedAt           time.Time // SIGKILL as a fault; zero: none
+	endedAt            time.Time // zero: it runs
+	killedAfterTimeout bool      // SIGKILL, since it did not end in time after SIGTERM
+	err                error
+	pausedTotal        time.Duration // by SIGSTOP
+	successor          *proxyProcess // that took over by a hot restart; nil: none
 }
 
 // latestSuccessor is the last in the chain of hot restarts that begins here.
-func (p *incarnation) latestSuccessor() *incarnation {
+func (p *proxyProcess) latestSuccessor() *proxyProcess {
 	p.mu.Lock()
 	next := p.successor
 	p.mu.Unlock()
@@ -40,13 +40,13 @@
 	return next.latestSuccessor()
 }
 
-// sinceStart is a moment in seconds since this process's start.
-func (p *incarnation) sinceStart(t time.Time) string {
+// secondsSinceStart is a moment in seconds since this process's start.
+func (p *proxyProcess) secondsSinceStart(t time.Time) string {
 	return fmt.Sprintf("%.3f", t.Sub(p.startedAt).Seconds())
 }
 
 // String names the process with the times of its signals and its end.
-func (p *incarnation) String() string {
+func (p *proxyProcess) String() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var b strings.Builder
@@ -56,27 +56,27 @@
 		at    time.Time
 	}{{"SIGTERM", p.stoppedAt}, {"SIGKILL", p.killedAt}, {"ended", p.endedAt}} {
 		if !e.at.IsZero() {
-			fmt.Fprintf(&b, " %s %s", e.event, p.sinceStart(e.at))
+			fmt.Fprintf(&b, " %s %s", e.event, p.secondsSinceStart(e.at))
 		}
 	}
-	if p.killedAtLimit {
+	if p.killedAfterTimeout {
 		b.WriteString(", killed at its time limit")
 	}
 	return b.String()
 }
 
-// pausedFor is the sum of its pauses.
-func (p *incarnation) pausedFor() time.Duration {
+// totalPause is the sum of its pauses.
+func (p *proxyProcess) totalPause() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pausedTotal
 }
 
 // wasKilled returns whether a fault killed it, or one of its successors.
-func (p *incarnation) wasKilled() bool { return p.wasKilledBefore(time.Now()) }
+func (p *proxyProcess) wasKilled() bool { return p.wasKilledBefore(time.Now()) }
 
 // wasKilledBefore returns whether that had happened by a moment.
-func (p *incarnation) wasKilledBefore(t time.Time) bool {
+func (p *proxyProcess) wasKilledBefore(t time.Time) bool {
 	p.mu.Lock()
 	killed, next := !p.killedAt.IsZero() && p.killedAt.Before(t), p.successor
 	p.mu.Unlock()
@@ -84,36 +84,36 @@
 }
 
 // hasEnded returns whether the process has ended.
-func (p *incarnation) hasEnded() bool {
+func (p *proxyProcess) hasEnded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.endedAt.IsZero()
 }
 
 // isStopping returns whether it was sent SIGTERM or SIGKILL.
-func (p *incarnation) isStopping() bool {
+func (p *proxyProcess) isStopping() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.stoppedAt.IsZero() || !p.killedAt.IsZero()
 }
 
 // exitError is its exit status, once it has ended.
-func (p *incarnation) exitError() (err error, ended bool) {
+func (p *proxyProcess) exitError() (err error, ended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err, !p.endedAt.IsZero()
 }
 
 // recordEnd records the end of the process.
-func (p *incarnation) recordEnd(killedAtLimit bool) {
+func (p *proxyProcess) recordEnd(killedAfterTimeout bool) {
 	err := p.proc.Err()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.endedAt, p.killedAtLimit, p.err = time.Now(), killedAtLimit, err
+	p.endedAt, p.killedAfterTimeout, p.err = time.Now(), killedAfterTimeout, err
 }
 
 // kill ends it by SIGKILL, as a crash does.
-func (p *incarnation) kill() {
+func (p *proxyProcess) kill() {
 	p.mu.Lock()
 	p.killedAt = time.Now()
 	p.mu.Unlock()
@@ -122,7 +122,7 @@
 }
 
 // stop sends SIGTERM and, as early as the platform may, SIGKILL; slack is added for stalls of this machine.
-func (p *incarnation) stop(longest, slack time.Duration) {
+func (p *proxyProcess) stop(longest, slack time.Duration) {
 	p.mu.Lock()
 	p.stoppedAt = time.Now()
 	p.mu.Unlock()
@@ -137,7 +137,7 @@
 }
 
 // pause stops it for a while.
-func (p *incarnation) pause(d time.Duration) {
+func (p *proxyProcess) pause(d time.Duration) {
 	p.mu.Lock()
 	p.pausedTotal += d
 	p.mu.Unlock()
@@ -147,7 +147,7 @@
 }
 
 // rewriteConfig changes one value in the process's configuration file.
-func (p *incarnation) rewriteConfig(name, value string) error {
+func (p *proxyProcess) rewriteConfig(name, value string) error {
 	path := p.proc.ConfigPath()
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/testbed/experiment/soak/record.go
+++ b/internal/testbed/experiment/soak/record.go
@@ -21,7 +21,7 @@
 
 // noticeKey is a host as one process of a proxy sees it.
 type noticeKey struct {
-	process *incarnation
+	process *proxyProcess
 	host    string
 }
 
@@ -30,12 +30,12 @@
 	return &Record{attempts: map[string][]*hostAttempt{}, notices: map[noticeKey][]stateNotice{}}
 }
 
-// side is one end of a connection between proxy and host.
-type side string
+// connectionSide is one end of a connection between proxy and host.
+type connectionSide string
 
 const (
-	hostSide  side = "host"
-	proxySide side = "proxy"
+	hostSide  connectionSide = "host"
+	proxySide connectionSide = "proxy"
 )
 
 // hostAttempt is one attempt as its host received it, with the request line complete.
@@ -49,8 +49,8 @@
 
 // attemptState is what has become of an attempt so far.
 type attemptState struct {
-	answer  Answer // of the host
-	endedBy side   // "": it has not ended
+	answer  Answer         // of the host
+	endedBy connectionSide // "": it has not ended
 	endedAt time.Time
 }
 
@@ -71,7 +71,7 @@
 }
 
 // recordNotice records that a list with a host's state was written to a process. Only a change of state is kept.
-func (r *Record) recordNotice(process *incarnation, host string, notice stateNotice) {
+func (r *Record) recordNotice(process *proxyProcess, host string, notice stateNotice) {
 	key := noticeKey{process, host}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +81,7 @@
 }
 
 // excludedSince returns the notice since which a process must not use a host, if the host was draining or removed for it at a moment.
-func (r *Record) excludedSince(process *incarnation, host string, at time.Time) (since stateNotice, excluded bool) {
+func (r *Record) excludedSince(process *proxyProcess, host string, at time.Time) (since stateNotice, excluded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, notice := range r.notices[noticeKey{process, host}] {
@@ -110,7 +110,7 @@
 }
 
 // recordEnd records the attempt's end; the first end counts.
-func (a *hostAttempt) recordEnd(by side) {
+func (a *hostAttempt) recordEnd(by connectionSide) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.state.endedBy == "" {
--- a/internal/testbed/experiment/soak/run.go
+++ b/internal/testbed/experiment/soak/run.go
@@ -46,14 +46,14 @@
 		return nil, err
 	}
 	r := &Result{Seed: opt.Seed, LongestDeadline: f.longestDeadline(), Answers: map[Answer]int{}, Ends: map[End]int{}}
-	f.playAll(r)
+	f.runWorkload(r)
 	f.stopAll()
 	f.check(r)
 	return r, nil
 }
 
-// playAll runs clients and faults for the play's time, and waits for their end.
-func (f *Fleet) playAll(r *Result) {
+// runWorkload runs clients and faults for the play's time, and waits for their end.
+func (f *Fleet) runWorkload(r *Result) {
 	var mu sync.Mutex
 	recordFault := func(fault string) {
 		mu.Lock()
@@ -62,9 +62,9 @@
 	}
 	until := time.Now().Add(f.options.Length)
 	f.workers.Add(1 + len(f.nodes))
-	go f.playFaults(until, rand.New(rand.NewPCG(f.options.Seed, 4)), recordFault)
+	go f.injectFaults(until, rand.New(rand.NewPCG(f.options.Seed, 4)), recordFault)
 	for i, n := range f.nodes {
-		go f.playClients(n, until, rand.New(rand.NewPCG(f.options.Seed, uint64(100+i))))
+		go f.runClients(n, until, rand.New(rand.NewPCG(f.options.Seed, uint64(100+i))))
 	}
 	for _, s := range f.shims {
 		f.workers.Add(1)
@@ -84,7 +84,7 @@
 			stops.Add(1)
 			go func() {
 				defer stops.Done()
-				process.stop(f.longestDeadline(), f.stallMeter.value())
+				process.stop(f.longestDeadline(), f.stallMeter.longestStall())
 			}()
 		}
 	}
@@ -102,7 +102,7 @@
 		return os.WriteFile(filepath.Join(dir, name), []byte(strings.Join(lines, "\n")+"\n"), 0o644)
 	}
 	for _, n := range f.nodes {
-		for _, process := range n.incarnations {
+		for _, process := range n.processes {
 			if process.proc == nil {
 				continue
 			}
@@ -117,7 +117,7 @@
 
 // check has the oracle check all requests and processes, and adds up the result.
 func (f *Fleet) check(r *Result) {
-	r.LongestStall = f.stallMeter.value()
+	r.LongestStall = f.stallMeter.longestStall()
 	o := &oracle{record: f.record, slack: r.LongestStall}
 	f.mu.Lock()
 	requests, errs := f.requests, f.errors
@@ -129,7 +129,7 @@
 		r.Ends[outcome.End]++
 	}
 	for _, n := range f.nodes {
-		for _, process := range n.incarnations {
+		for _, process := range n.processes {
 			if process.proc != nil { // a failed start is among the errors
 				r.countProcess(process)
 				o.checkProcess(process)
@@ -147,12 +147,12 @@
 }
 
 // countProcess adds a process that was started.
-func (r *Result) countProcess(p *incarnation) {
+func (r *Result) countProcess(p *proxyProcess) {
 	r.Processes++
 	if !p.stoppedAt.IsZero() {
 		r.Stopped++
 	}
-	if p.killedAtLimit {
+	if p.killedAfterTimeout {
 		r.KilledAfterTimeout++
 	}
 }
--- a/internal/testbed/experiment/soak/seccomp.go
+++ b/internal/testbed/experiment/soak/seccomp.go
@@ -20,8 +20,8 @@
 	args        [6]uint64
 }
 
-// verdict is the kernel's struct seccomp_notif_resp.
-type verdict struct {
+// notificationReply is the kernel's struct seccomp_notif_resp.
+type notificationReply struct {
 	requestID uint64
 	value     int64
 	errno     int32
@@ -35,14 +35,14 @@
 	notifyContinue = 1
 )
 
-// pollMS is how soon the shim notices its Close, in milliseconds.
-const pollMS = 100
+// pollTimeoutMS is how soon the shim notices its Close, in milliseconds.
+const pollTimeoutMS = 100
 
 // lockThread keeps the calling goroutine on its thread: a filter belongs to the thread that installs it.
 func lockThread() { runtime.LockOSThread() }
 
-// serve answers the notifications of a process until it has ended, or the shim is closed.
-func (s *Shim) serve(fd int, ready *atomic.Bool) {
+// serveNotifications answers the notifications of a process until it has ended, or the shim is closed.
+func (s *Shim) serveNotifications(fd int, ready *atomic.Bool) {
 	for {
 		select {
 		case <-s.ended:
@@ -50,27 +50,27 @@
 		default:
 		}
 		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(poll, pollMS)
+		n, err := unix.Poll(poll, pollTimeoutMS)
 		switch {
 		case err == unix.EINTR || n == 0 && err == nil:
 			continue
 		case err != nil || poll[0].Revents&unix.POLLIN == 0:
 			return // the process has ended
 		}
-		s.answer(fd, ready.Load())
+		s.answerNotification(fd, ready.Load())
 	}
 }
 
-// answer answers one notification: the kernel makes the call, or it fails.
-func (s *Shim) answer(fd int, ready bool) {
+// answerNotification answers one notification: the kernel makes the call, or it fails.
+func (s *Shim) answerNotification(fd int, ready bool) {
 	var q notification
 	if ioctl(fd, notifyReceive, unsafe.Pointer(&q)) != 0 {
 		return // the caller has been killed meanwhile
 	}
-	v := verdict{requestID: q.requestID}
+	v := notificationReply{requestID: q.requestID}
 	v.flags = notifyContinue
 	if ready {
-		if errno := s.drawError(q.call, q.args[1]); errno != 0 {
+		if errno := s.randomError(q.call, q.args[1]); errno != 0 {
 			v.errno, v.flags = -int32(errno), 0
 		}
 	}
--- a/internal/testbed/experiment/soak/shim.go
+++ b/internal/testbed/experiment/soak/shim.go
@@ -25,10 +25,10 @@
 	failed atomic.Int64  // injected failures
 	ended  chan struct{} // closed by Close
 
-	mu        sync.Mutex // protects what follows
-	rng       *rand.Rand
-	armed     bool
-	failShare float64 // part of the calls that fail while armed
+	mu              sync.Mutex // protects what follows
+	rng             *rand.Rand
+	failing         bool
+	failProbability float64 // part of the calls that fail while failing
 }
 
 // NewShim makes one for the processes of one proxy.
@@ -52,8 +52,8 @@
 // proxyFlags mark the proxy's own writes; the standard library's, which also hand descriptors over, never fail.
 const proxyFlags = unix.MSG_NOSIGNAL | unix.MSG_DONTWAIT
 
-// filter is the seccomp program that sends a notification for each call in errnos.
-func filter() []unix.SockFilter {
+// seccompFilter is the seccomp program that sends a notification for each call in errnos.
+func seccompFilter() []unix.SockFilter {
 	const nr, flags = 0, 16 + 2*8 // offsets in struct seccomp_data: the call, and the low half of its third argument
 	load := func(at uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: at}
@@ -90,7 +90,7 @@
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return err
 	}
-	code := filter()
+	code := seccompFilter()
 	fprog := unix.SockFprog{Len: uint16(len(code)), Filter: &code[0]}
 	fd, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, unix.SECCOMP_FILTER_FLAG_NEW_LISTENER, uintptr(unsafe.Pointer(&fprog)))
 	if errno != 0 {
@@ -116,7 +116,7 @@
 	theirs, ours := os.NewFile(uintptr(pair[0]), "shim"), os.NewFile(uintptr(pair[1]), "shim")
 	defer theirs.Close()
 	ready := new(atomic.Bool)
-	go s.answerFor(ours, ready)
+	go s.serveProcess(ours, ready)
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -128,8 +128,8 @@
 	return proc, err
 }
 
-// answerFor receives a process's notification descriptor and serves it until the process has ended.
-func (s *Shim) answerFor(from *os.File, ready *atomic.Bool) {
+// serveProcess receives a process's notification descriptor and serves it until the process has ended.
+func (s *Shim) serveProcess(from *os.File, ready *atomic.Bool) {
 	c, err := net.FileConn(from)
 	from.Close()
 	if err != nil {
@@ -150,27 +150,27 @@
 		return
 	}
 	defer unix.Close(fds[0])
-	s.serve(fds[0], ready)
+	s.serveNotifications(fds[0], ready)
 }
 
 // InjectFailures alternates times without failures and times with them, until the given time.
 func (s *Shim) InjectFailures(until time.Time) {
 	for time.Now().Before(until) {
 		s.mu.Lock()
-		quiet, failing, share := randomSpan(s.rng, 200, 3000), randomSpan(s.rng, 100, 1500), 0.02+0.4*s.rng.Float64()
+		quiet, failing, share := randomDuration(s.rng, 200, 3000), randomDuration(s.rng, 100, 1500), 0.02+0.4*s.rng.Float64()
 		s.mu.Unlock()
 		time.Sleep(quiet)
-		s.arm(true, share)
+		s.setFailing(true, share)
 		time.Sleep(failing)
-		s.arm(false, 0)
+		s.setFailing(false, 0)
 	}
 }
 
-// arm makes a share of the calls fail from now on, or none.
-func (s *Shim) arm(on bool, share float64) {
+// setFailing makes a share of the calls fail from now on, or none.
+func (s *Shim) setFailing(on bool, share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.armed, s.failShare = on, share
+	s.failing, s.failProbability = on, share
 }
 
 // FailedCalls is the number of injected failures.
@@ -179,12 +179,12 @@
 // Close ends the shim; its processes must have ended.
 func (s *Shim) Close() { close(s.ended) }
 
-// drawError draws the error of a call; 0: it does not fail. secondArgument is the call's.
-func (s *Shim) drawError(call int32, secondArgument uint64) syscall.Errno {
+// randomError draws the error of a call; 0: it does not fail. secondArgument is the call's.
+func (s *Shim) randomError(call int32, secondArgument uint64) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := errnos[call]
-	if !s.armed || len(all) == 0 || s.rng.Float64() >= s.failShare || call == unix.SYS_EPOLL_CTL && secondArgument != unix.EPOLL_CTL_ADD {
+	if !s.failing || len(all) == 0 || s.rng.Float64() >= s.failProbability || call == unix.SYS_EPOLL_CTL && secondArgument != unix.EPOLL_CTL_ADD {
 		return 0
 	}
 	s.failed.Add(1)
--- a/internal/testbed/experiment/soak/stallmeter.go
+++ b/internal/testbed/experiment/soak/stallmeter.go
@@ -32,8 +32,8 @@
 	return m
 }
 
-// value is the longest stall so far.
-func (m *stallMeter) value() time.Duration {
+// longestStall is the longest stall so far.
+func (m *stallMeter) longestStall() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.longest
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -93,9 +93,9 @@
 	return connections
 }
 
-// TestNothingIsHeldAtTheEarliestKill: the hosts hang, clients go on sending, and SIGKILL comes as early as the platform may send it. By then
+// TestShutdownEndsBeforeEarliestKill: the hosts hang, clients go on sending, and SIGKILL comes as early as the platform may send it. By then
 // each request has its answer, each established connection has been migrated, and the process has ended.
-func TestNothingIsHeldAtTheEarliestKill(t *testing.T) {
+func TestShutdownEndsBeforeEarliestKill(t *testing.T) {
 	for _, deadline := range []time.Duration{100, 400, 1000, 2000, 3000, 4800, 9000} {
 		deadline *= time.Millisecond
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -114,7 +114,7 @@
 			// SIGKILL comes no sooner than the platform says, and later by the longest stall of this machine.
 			time.Sleep(time.Until(terminatedAt.Add(KillAfter(deadline))))
 			stalls.stop()
-			time.Sleep(stalls.value())
+			time.Sleep(stalls.longestStall())
 			s.proxy.Kill()
 			s.check(t, established, waiting)
 		})
--- a/internal/testbed/experiment/soak/suspensions.go
+++ b/internal/testbed/experiment/soak/suspensions.go
@@ -30,7 +30,7 @@
 	n.mu.Lock()
 	n.suspensions = append(n.suspensions, s)
 	n.mu.Unlock()
-	time.Sleep(randomSpan(rng, 500, 6000))
+	time.Sleep(randomDuration(rng, 500, 6000))
 	n.mu.Lock()
 	s.until = time.Now()
 	n.mu.Unlock()
--- a/internal/testbed/fake/badserver.go
+++ b/internal/testbed/fake/badserver.go
@@ -33,9 +33,9 @@
 // serve plays the fault on one connection.
 func (b *BadServer) serve(c net.Conn) {
 	b.Connections.Add(1)
-	b.hold(c, false)
-	defer b.drop(c)
-	spy := &plaintextSpy{Conn: c, server: b}
+	b.trackConn(c, false)
+	defer b.closeConn(c)
+	spy := &countingConn{Conn: c, server: b}
 	if b.Fault.Serve != nil {
 		if b.Fault.CompletesHandshake {
 			b.Fault.Serve(c, b.config)
@@ -58,14 +58,14 @@
 	}
 }
 
-// plaintextSpy counts requests that are sent in plain text.
-type plaintextSpy struct {
+// countingConn counts requests that are sent in plain text.
+type countingConn struct {
 	net.Conn
 	server *BadServer
 }
 
 // Read reads, and counts bytes that hold a request.
-func (p *plaintextSpy) Read(buf []byte) (int, error) {
+func (p *countingConn) Read(buf []byte) (int, error) {
 	n, err := p.Conn.Read(buf)
 	if bytes.Contains(buf[:n], []byte("OPEN ")) {
 		p.server.RequestBytes.Add(int64(n))
@@ -74,4 +74,4 @@
 }
 
 // SetLinger has Reset work on it.
-func (p *plaintextSpy) SetLinger(seconds int) error { return p.Conn.(*net.TCPConn).SetLinger(seconds) }
+func (p *countingConn) SetLinger(seconds int) error { return p.Conn.(*net.TCPConn).SetLinger(seconds) }
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// currentSilence is closed when the silence ends; nil: there is none.
-func (d *Discovery) currentSilence() chan struct{} {
+// silenceEndChan is closed when the silence ends; nil: there is none.
+func (d *Discovery) silenceEndChan() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.silenceEnd
--- a/internal/testbed/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -18,15 +18,15 @@
 	// reads nothing. Else no byte of a request may arrive.
 	CompletesHandshake bool
 	TLS12              bool                                 // the server and the proxy's settings use TLS 1.2
-	Config             makeConfig                           // nil where the fault needs none
+	Config             configFunc                           // nil where the fault needs none
 	Serve              func(c net.Conn, config *tls.Config) // handles a connection; nil: a handshake by Config
 }
 
-// makeConfig makes a server's side of TLS.
-type makeConfig func(p *PKI) (*tls.Config, error)
+// configFunc makes a server's side of TLS.
+type configFunc func(p *PKI) (*tls.Config, error)
 
 // withCertificate makes a configuration with a certificate of some kind by an authority.
-func withCertificate(spec func(p *PKI) certs.Spec, issuer func(p *PKI) *Authority) makeConfig {
+func withCertificate(spec func(p *PKI) certs.Spec, issuer func(p *PKI) *Authority) configFunc {
 	return func(p *PKI) (*tls.Config, error) {
 		s := spec(p)
 		if s.Hosts == nil {
@@ -41,14 +41,14 @@
 	}
 }
 
-func byTrusted(p *PKI) *Authority { return p.Trusted }
+func trustedAuthority(p *PKI) *Authority { return p.Trusted }
 
-func byOther(p *PKI) *Authority { return p.Other }
+func otherAuthority(p *PKI) *Authority { return p.Other }
 
-func unchangedSpec(*PKI) certs.Spec { return certs.Spec{} }
+func defaultSpec(*PKI) certs.Spec { return certs.Spec{} }
 
-// withChange makes a configuration with a change.
-func withChange(base makeConfig, change func(*tls.Config)) makeConfig {
+// withModification makes a configuration with a change.
+func withModification(base configFunc, change func(*tls.Config)) configFunc {
 	return func(p *PKI) (*tls.Config, error) {
 		c, err := base(p)
 		if err == nil {
@@ -60,30 +60,30 @@
 
 // Faults are all faults of servers.
 func Faults() []Fault {
-	sound := withCertificate(unchangedSpec, byTrusted)
+	sound := withCertificate(defaultSpec, trustedAuthority)
 	valid := func(from, to time.Duration) func(*PKI) certs.Spec {
 		return func(*PKI) certs.Spec {
 			return certs.Spec{NotBefore: time.Now().Add(from), NotAfter: time.Now().Add(to)}
 		}
 	}
 	return []Fault{
-		{Kind: "expired", Reason: "expired", Config: withCertificate(valid(-2*time.Hour, -time.Hour), byTrusted)},
-		{Kind: "not-yet-valid", Reason: "not_yet_valid", Config: withCertificate(valid(time.Hour, 2*time.Hour), byTrusted)},
+		{Kind: "expired", Reason: "expired", Config: withCertificate(valid(-2*time.Hour, -time.Hour), trustedAuthority)},
+		{Kind: "not-yet-valid", Reason: "not_yet_valid", Config: withCertificate(valid(time.Hour, 2*time.Hour), trustedAuthority)},
 		{Kind: "wrong-name", Reason: "wrong_name", Config: withCertificate(func(*PKI) certs.Spec {
 			return certs.Spec{Hosts: []string{"cat3.example.org"}}
-		}, byTrusted)},
-		{Kind: "unknown-ca", Reason: "unknown_ca", Config: withCertificate(unchangedSpec, byOther)},
+		}, trustedAuthority)},
+		{Kind: "unknown-ca", Reason: "unknown_ca", Config: withCertificate(defaultSpec, otherAuthority)},
 		{Kind: "self-signed", Reason: "self_signed", Config: selfSigned},
-		{Kind: "wrong-usage", Reason: "wrong_usage", Config: withCertificate(func(*PKI) certs.Spec { return certs.Spec{Client: true} }, byTrusted)},
+		{Kind: "wrong-usage", Reason: "wrong_usage", Config: withCertificate(func(*PKI) certs.Spec { return certs.Spec{Client: true} }, trustedAuthority)},
 		{Kind: "revoked", Reason: "revoked", Config: func(p *PKI) (*tls.Config, error) {
 			return ServerTLSConfig(func() *tls.Certificate { return TLSCertificate(p.Revoked) }, nil), nil
 		}},
-		{Kind: "weak-key", Reason: "weak_key", Config: withCertificate(func(*PKI) certs.Spec { return certs.Spec{Key: "rsa1024"} }, byTrusted)},
-		{Kind: "old-version", Reason: "old_version", Config: withChange(sound, func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })},
+		{Kind: "weak-key", Reason: "weak_key", Config: withCertificate(func(*PKI) certs.Spec { return certs.Spec{Key: "rsa1024"} }, trustedAuthority)},
+		{Kind: "old-version", Reason: "old_version", Config: withModification(sound, func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })},
 		{Kind: "no-certificate", Reason: "no_certificate", Config: func(*PKI) (*tls.Config, error) {
 			return &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return nil, nil }}, nil
 		}},
-		{Kind: "wants-a-certificate", Reason: "rejected_by_host", Config: withChange(sound, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
+		{Kind: "wants-a-certificate", Reason: "rejected_by_host", Config: withModification(sound, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
 		{Kind: "chain-of-1mb", Reason: "too_large", Config: longChain},
 		{Kind: "plain-text", Reason: "not_tls", Serve: func(c net.Conn, _ *tls.Config) {
 			c.Read(make([]byte, 1))
--- a/internal/testbed/fake/mesh.go
+++ b/internal/testbed/fake/mesh.go
@@ -24,9 +24,9 @@
 // Mesh forwards datagrams between processes, with a socket for every ordered pair: each process has its own addresses for the others, so
 // that each link has its own faults in each direction. It needs no privileges.
 type Mesh struct {
-	ownAddrs   []netip.AddrPort
-	sockets    [][]*net.UDPConn // by sender and receiver
-	forwarders sync.WaitGroup
+	listenAddrs []netip.AddrPort
+	sockets     [][]*net.UDPConn // by sender and receiver
+	forwarders  sync.WaitGroup
 
 	mu    sync.Mutex // protects links and rng
 	links [][]Link   // by sender and receiver
@@ -38,7 +38,7 @@
 
 // NewMesh makes a mesh for n processes; seed is that of its random faults.
 func NewMesh(n int, seed uint64) (*Mesh, error) {
-	m := &Mesh{ownAddrs: ownAddrs(n), sockets: make([][]*net.UDPConn, n), links: make([][]Link, n), rng: rand.New(rand.NewPCG(seed, 3))}
+	m := &Mesh{listenAddrs: ownAddrs(n), sockets: make([][]*net.UDPConn, n), links: make([][]Link, n), rng: rand.New(rand.NewPCG(seed, 3))}
 	loopback := net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0"))
 	for i := range n {
 		m.sockets[i], m.links[i] = make([]*net.UDPConn, n), make([]Link, n)
@@ -77,11 +77,11 @@
 }
 
 // ListenAddr is the address that a process listens on.
-func (m *Mesh) ListenAddr(i int) string { return m.ownAddrs[i].String() }
+func (m *Mesh) ListenAddr(i int) string { return m.listenAddrs[i].String() }
 
 // PeerAddrs are the addresses by which a process reaches each process, itself included.
 func (m *Mesh) PeerAddrs(i int) []string {
-	out := make([]string, len(m.ownAddrs))
+	out := make([]string, len(m.listenAddrs))
 	for j := range out {
 		if out[j] = m.ListenAddr(i); i != j {
 			out[j] = m.sockets[i][j].LocalAddr().String()
@@ -110,7 +110,7 @@
 			m.send(from, to, buf[:n])
 			continue
 		}
-		if _, ok := err.(*net.OpError); ok && m.closed(in) {
+		if _, ok := err.(*net.OpError); ok && m.isClosed(in) {
 			return
 		}
 	}
@@ -118,7 +118,7 @@
 
 // send forwards a datagram with the link's faults.
 func (m *Mesh) send(from, to int, datagram []byte) {
-	out, addr := m.sockets[to][from], net.UDPAddrFromAddrPort(m.ownAddrs[to])
+	out, addr := m.sockets[to][from], net.UDPAddrFromAddrPort(m.listenAddrs[to])
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l, times := m.links[from][to], 1
@@ -145,8 +145,8 @@
 	}
 }
 
-// closed returns whether a socket is closed.
-func (m *Mesh) closed(c *net.UDPConn) bool {
+// isClosed returns whether a socket is isClosed.
+func (m *Mesh) isClosed(c *net.UDPConn) bool {
 	_, err := c.SyscallConn()
 	if err != nil {
 		return true
@@ -159,7 +159,7 @@
 	if from == to {
 		return fmt.Errorf("no link from %d to itself", from)
 	}
-	_, err := m.sockets[to][from].WriteToUDP(data, net.UDPAddrFromAddrPort(m.ownAddrs[to]))
+	_, err := m.sockets[to][from].WriteToUDP(data, net.UDPAddrFromAddrPort(m.listenAddrs[to]))
 	return err
 }
 
--- a/internal/testbed/fake/serverconn.go
+++ b/internal/testbed/fake/serverconn.go
@@ -20,11 +20,11 @@
 		}
 		c = secured
 	}
-	s.hold(c, false)
-	defer s.drop(c)
+	s.trackConn(c, false)
+	defer s.closeConn(c)
 	in := bufio.NewReaderSize(c, 512)
 	id, err := readRequest(in)
-	if err == errNoRequest {
+	if err == errInvalidRequest {
 		fmt.Fprint(c, "SYNTAX\r\n")
 	}
 	if err != nil {
@@ -56,8 +56,8 @@
 	return t, nil
 }
 
-// errNoRequest says that a first line is not a valid request.
-var errNoRequest = errors.New("the first line is not a valid request")
+// errInvalidRequest says that a first line is not a valid request.
+var errInvalidRequest = errors.New("the first line is not a valid request")
 
 // readRequest reads a request line and returns its ID.
 func readRequest(in *bufio.Reader) (id string, err error) {
@@ -67,7 +67,7 @@
 	}
 	words := strings.Fields(line)
 	if len(words) < 3 || words[0] != "OPEN" || !strings.HasSuffix(line, "\r\n") {
-		return "", errNoRequest
+		return "", errInvalidRequest
 	}
 	return words[1], nil
 }
@@ -86,7 +86,7 @@
 		fmt.Fprint(c, "ERR\r\n")
 		return false
 	}
-	s.hold(c, true)
+	s.trackConn(c, true)
 	fmt.Fprintf(c, "UP %s-%s\r\n", s.UID, id)
 	return true
 }
--- a/internal/testbed/fake/tcpserver.go
+++ b/internal/testbed/fake/tcpserver.go
@@ -35,15 +35,15 @@
 // Addr is the address that it listens on.
 func (s *tcpServer) Addr() string { return s.listener.Addr().String() }
 
-// hold records a connection, and whether its client has been answered with UP.
-func (s *tcpServer) hold(c net.Conn, established bool) {
+// trackConn records a connection, and whether its client has been answered with UP.
+func (s *tcpServer) trackConn(c net.Conn, established bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = established
 }
 
-// drop closes a connection and forgets it.
-func (s *tcpServer) drop(c net.Conn) {
+// closeConn closes a connection and forgets it.
+func (s *tcpServer) closeConn(c net.Conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
--- a/internal/testbed/fake/tlsrecords.go
+++ b/internal/testbed/fake/tlsrecords.go
@@ -31,8 +31,8 @@
 	return k.log.Write(p)
 }
 
-// find returns the last secret with a label, and the client's random.
-func (k *keyLog) find(label string) (random, secret []byte) {
+// lastSecret returns the last secret with a label, and the client's random.
+func (k *keyLog) lastSecret(label string) (random, secret []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, line := range strings.Split(k.log.String(), "\n") {
@@ -44,8 +44,8 @@
 	return random, secret
 }
 
-// newSealer is AES-128-GCM.
-func newSealer(key []byte) cipher.AEAD {
+// newAESGCM is AES-128-GCM.
+func newAESGCM(key []byte) cipher.AEAD {
 	block, err := aes.NewCipher(key)
 	if err != nil {
 		panic(err)
@@ -78,12 +78,12 @@
 	if s.Handshake() != nil || s.ConnectionState().CipherSuite != tls.TLS_AES_128_GCM_SHA256 {
 		return
 	}
-	_, secret := log.find("SERVER_TRAFFIC_SECRET_0")
+	_, secret := log.lastSecret("SERVER_TRAFFIC_SECRET_0")
 	for range 1000 {
 		key, nonce := expandLabel(secret, "key", 16), expandLabel(secret, "iv", 12)
 		inner := []byte{24, 0, 0, 1, 1, 22} // KeyUpdate, update_requested; its content type
 		head := []byte{23, 3, 3, 0, byte(len(inner) + 16)}
-		if _, err := c.Write(append(head, newSealer(key).Seal(nil, nonce, inner, head)...)); err != nil {
+		if _, err := c.Write(append(head, newAESGCM(key).Seal(nil, nonce, inner, head)...)); err != nil {
 			return
 		}
 		secret = expandLabel(secret, "traffic upd", 32) // a new key, whose sequence numbers begin at 0
@@ -96,11 +96,11 @@
 	config = config.Clone()
 	config.KeyLogWriter, config.SessionTicketsDisabled, config.MaxVersion = &log, true, tls.VersionTLS12
 	config.CipherSuites = []uint16{tls.TLS_ECDHE_ECDSA_WITH_AES_128_GCM_SHA256}
-	w := &firstFlight{Conn: c}
+	w := &firstBytesRecorder{Conn: c}
 	if tls.Server(w, config).Handshake() != nil || len(w.first) < 43 {
 		return
 	}
-	client, master := log.find("CLIENT_RANDOM")
+	client, master := log.lastSecret("CLIENT_RANDOM")
 	server := w.first[11:43] // record and handshake headers, version, then the random
 	block := prf(master, "key expansion", append(append([]byte(nil), server...), client...), 40)
 	key, salt := block[16:32], block[36:40]
@@ -108,19 +108,19 @@
 	seq := binary.BigEndian.AppendUint64(nil, 1)
 	request := []byte{0, 0, 0, 0} // HelloRequest
 	extra := append(append([]byte(nil), seq...), 22, 3, 3, 0, byte(len(request)))
-	sealed := newSealer(key).Seal(nil, append(append([]byte(nil), salt...), seq...), request, extra)
+	sealed := newAESGCM(key).Seal(nil, append(append([]byte(nil), salt...), seq...), request, extra)
 	record := append([]byte{22, 3, 3, 0, byte(len(seq) + len(sealed))}, seq...)
 	c.Write(append(record, sealed...))
 }
 
-// firstFlight keeps the first bytes that are written, which hold the server's random.
-type firstFlight struct {
+// firstBytesRecorder keeps the first bytes that are written, which hold the server's random.
+type firstBytesRecorder struct {
 	net.Conn
 	first []byte
 }
 
 // Write writes, and keeps the first bytes.
-func (f *firstFlight) Write(p []byte) (int, error) {
+func (f *firstBytesRecorder) Write(p []byte) (int, error) {
 	if len(f.first) < 64 {
 		f.first = append(f.first, p[:min(len(p), 64)]...)
 	}
--- a/internal/testbed/fake/watch.go
+++ b/internal/testbed/fake/watch.go
@@ -69,7 +69,7 @@
 		d.mu.Lock()
 		list, nextChange, down := d.listSince(q.from), d.nextChange, d.down
 		d.mu.Unlock()
-		if silence := d.currentSilence(); silence != nil {
+		if silence := d.silenceEndChan(); silence != nil {
 			<-silence
 			panic(http.ErrAbortHandler)
 		}
