--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -158,17 +158,17 @@
 // Watches wait longer in a larger fleet, so that all proxies together make at most four calls a second.
 func TestWatchesWaitLongerInALargerFleet(t *testing.T) {
 	for _, c := range []struct {
-		sharing int
+		proxies int
 		want    time.Duration
 	}{{0, 4 * time.Second}, {1, 4 * time.Second}, {3, 4 * time.Second}, {16, 4 * time.Second}, {40, 10 * time.Second},
 		{80, 20 * time.Second}, {1000, 20 * time.Second}} {
-		k := NewClient(nil, nil, Options{Address: "127.0.0.1:1", ProxyCount: c.sharing})
+		k := NewClient(nil, nil, Options{Address: "127.0.0.1:1", ProxyCount: c.proxies})
 		if k.watchTimeout != c.want {
-			t.Errorf("the watch timeout for %d proxies is %v, want %v", c.sharing, k.watchTimeout, c.want)
+			t.Errorf("the watch timeout for %d proxies is %v, want %v", c.proxies, k.watchTimeout, c.want)
 		}
 		if k.watchTimeout+watchAnswerTimeout >= k.watchTimeout+2*time.Second {
 			t.Errorf("for %d proxies a silent call takes %v, want less than 2 s beyond the watch timeout, when its list counts as received late",
-				c.sharing, k.watchTimeout+watchAnswerTimeout)
+				c.proxies, k.watchTimeout+watchAnswerTimeout)
 		}
 	}
 }
--- a/internal/dataplane/lineproto/connector.go
+++ b/internal/dataplane/lineproto/connector.go
@@ -10,7 +10,7 @@
 // Opener opens a connection to an upstream host. It calls done once, on the loop, with the connection or
 // an error, unless drop is called first. limit is the number of bytes of input at which reading pauses.
 type Opener func(to proxy.Target, timeout time.Duration, limit int, h netio.Handler,
-	done func(*netio.Conn, *netio.Error)) (drop func())
+	done func(*netio.Conn, *netio.Error)) (cancel func())
 
 // PlainTCP returns an Opener of connections without a layer.
 func PlainTCP(d *netio.Dialer) Opener {
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -153,8 +153,8 @@
 type idleEndReason string
 
 const (
-	idleTooLong    idleEndReason = "idle"
-	evictedForNext idleEndReason = "evicted"
+	idleTooLong         idleEndReason = "idle"
+	evictedForNewClient idleEndReason = "evicted"
 )
 
 // logIdleEnd logs why a connection without a request ends.
@@ -187,7 +187,7 @@
 // evict ends a connection without a request at once, to free its capacity for the next one.
 func (d *downstream) evict() {
 	d.idleTimer.Stop()
-	d.logIdleEnd(evictedForNext)
+	d.logIdleEnd(evictedForNewClient)
 	switch {
 	case d.conn.Ended():
 	case len(d.conn.Input()) > 0:
--- a/internal/dataplane/lineproto/ends_test.go
+++ b/internal/dataplane/lineproto/ends_test.go
@@ -64,8 +64,8 @@
 // A shutdown with no other connection left waits for a client that has sent part of its first line.
 func TestShutdownWaitsForAFirstLine(t *testing.T) {
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
-	half, pinging := r.dial(), r.dial()
-	io.WriteString(half, opening[:20])
+	partial, pinging := r.dial(), r.dial()
+	io.WriteString(partial, opening[:20])
 	exchange(t, pinging, "PING\r\n", "PONG\r\n")
 	ended := make(chan struct{})
 	r.runOnLoop(func() { r.core.Shutdown(func() { close(ended) }) })
@@ -79,9 +79,9 @@
 	default:
 	}
 	expect(t, pinging, "")
-	io.WriteString(half, opening[20:])
-	expect(t, half, "BUSY 500\r\n")
-	half.Close()
+	io.WriteString(partial, opening[20:])
+	expect(t, partial, "BUSY 500\r\n")
+	partial.Close()
 	pinging.Close()
 	for {
 		r.advanceClock(50 * time.Millisecond)
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -36,8 +36,8 @@
 func (rejectingBalancer) AttemptEnded(balancer.Time, balancer.AttemptResult) {}
 
 // startFront starts a front with capacity for two connections without a request and maxDownstreams with
-// one. pass advances its clock.
-func startFront(t *testing.T, maxDownstreams int) (dial func() net.Conn, pass func(time.Duration)) {
+// one. advanceClock advances its clock.
+func startFront(t *testing.T, maxDownstreams int) (dial func() net.Conn, advanceClock func(time.Duration)) {
 	t.Helper()
 	r := newFrontRig(t, maxDownstreams, func(fx balancer.Effects) proxy.Balancer { return rejectingBalancer{fx} })
 	return r.dial, r.advanceClock
@@ -121,33 +121,33 @@
 // Clients that send no request are evicted, so that they use no capacity of those with a request.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	dial, _ := startFront(t, 2)
-	silent, half := dial(), dial()
-	exchange(t, half, "PING\r\nOP", "PONG\r\n")
-	usual := dial()
+	silent, partial := dial(), dial()
+	exchange(t, partial, "PING\r\nOP", "PONG\r\n")
+	withRequest := dial()
 	expect(t, silent, "BUSY 500\r\n")
-	exchange(t, usual, opening, "BUSY 7\r\n")
+	exchange(t, withRequest, opening, "BUSY 7\r\n")
 	dial()
 	next := dial()
-	expect(t, half, "ERR\r\n")
+	expect(t, partial, "ERR\r\n")
 	exchange(t, next, opening, "BUSY 7\r\n")
 }
 
 // The time for a first line does not depend on the number of its pieces; a PING extends it.
 func TestFirstLineInTime(t *testing.T) {
-	dial, pass := startFront(t, 1)
+	dial, advanceClock := startFront(t, 1)
 	silent := dial()
 	exchange(t, silent, "PING\r\n", "PONG\r\n")
-	half := dial()
-	exchange(t, half, "PING\r\nOPEN 9b", "PONG\r\n")
-	pass(firstLineTimeout)
+	partial := dial()
+	exchange(t, partial, "PING\r\nOPEN 9b", "PONG\r\n")
+	advanceClock(firstLineTimeout)
 	exchange(t, silent, "PING\r\n", "PONG\r\n")
-	pass(pingIdleTimeout - firstLineTimeout)
-	expect(t, half, "ERR\r\n")
-	pass(firstLineTimeout)
+	advanceClock(pingIdleTimeout - firstLineTimeout)
+	expect(t, partial, "ERR\r\n")
+	advanceClock(firstLineTimeout)
 	expect(t, silent, "")
 	fresh := dial()
 	exchange(t, dial(), "PING\r\n", "PONG\r\n") // the loop has accepted both connections after this
-	pass(firstLineTimeout)
+	advanceClock(firstLineTimeout)
 	expect(t, fresh, "BUSY 500\r\n")
 }
 
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -53,28 +53,28 @@
 // Check polls a host for its load, and calls done exactly once, on the loop. load is nil if the host
 // reported none. It does not poll, and reports TooLate, after any host has answered NO, or if all
 // connections are in use.
-func (p *HealthChecks) Check(host proxy.Target, done func(status balancer.AttemptStatus, load []float64)) {
-	q := p.byHost[host.ID]
+func (h *HealthChecks) Check(host proxy.Target, done func(status balancer.AttemptStatus, load []float64)) {
+	q := h.byHost[host.ID]
 	if q != nil && (q.done != nil || q.host != host) {
 		q.end(balancer.Cancelled) // a health check is in flight, or the host's address has changed
 		q = nil
 	}
-	if p.denied || q == nil && !p.evictIdle() {
-		p.loop.Post(func() { done(balancer.TooLate, nil) })
+	if h.denied || q == nil && !h.evictIdle() {
+		h.loop.Post(func() { done(balancer.TooLate, nil) })
 		return
 	}
 	if q == nil {
-		q = &hostCheck{checks: p, host: host}
-		p.byHost[host.ID] = q
+		q = &hostCheck{checks: h, host: host}
+		h.byHost[host.ID] = q
 	}
-	q.done, q.usedAt = done, p.loop.Now()
+	q.done, q.usedAt = done, h.loop.Now()
 	q.timer.Stop()
-	q.timer = p.loop.After(checkTimeout, func() { q.end(balancer.Timeout) })
+	q.timer = h.loop.After(checkTimeout, func() { q.end(balancer.Timeout) })
 	if q.conn != nil {
 		q.conn.Write(statsLine)
 		return
 	}
-	q.cancelDial = p.open(host, checkTimeout, inputLimit, q, func(c *netio.Conn, err *netio.Error) {
+	q.cancelDial = h.open(host, checkTimeout, inputLimit, q, func(c *netio.Conn, err *netio.Error) {
 		q.cancelDial = nil
 		if err != nil {
 			q.end(balancer.ConnectFailed)
@@ -86,20 +86,20 @@
 }
 
 // Forget ends the health check of a host, if there is one, and closes its connection.
-func (p *HealthChecks) Forget(host string) {
-	if q := p.byHost[host]; q != nil {
+func (h *HealthChecks) Forget(host string) {
+	if q := h.byHost[host]; q != nil {
 		q.end(balancer.Cancelled)
 	}
 }
 
 // evictIdle closes the least recently used idle connection if there are maxConnections. It returns false
 // if all of them are in use.
-func (p *HealthChecks) evictIdle() bool {
-	if len(p.byHost) < p.maxConnections {
+func (h *HealthChecks) evictIdle() bool {
+	if len(h.byHost) < h.maxConnections {
 		return true
 	}
 	var oldest *hostCheck
-	for _, q := range p.byHost {
+	for _, q := range h.byHost {
 		if q.done == nil && (oldest == nil || q.usedAt < oldest.usedAt) {
 			oldest = q
 		}
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -10,16 +10,16 @@
 
 // upstream is the connection of one upstream request. It implements proxy.Upstream.
 type upstream struct {
-	loop         *netio.Loop
-	events       proxy.UpstreamEvents
-	requestLine  proxy.RequestLine
-	reportFields []string // of the load report at the end of an answer; empty if hosts send none
-	deadline     int64    // end of the wait for the host's answer, as Unix time in nanoseconds
-	cancelDial   func()   // nil unless the connection is being opened
-	conn         *netio.Conn
-	stage        netio.Stage
-	endOfHost    *netio.Error // how the host ended the connection, whose last lines may not be relayed yet; nil if it has not
-	ended        bool
+	loop          *netio.Loop
+	events        proxy.UpstreamEvents
+	requestLine   proxy.RequestLine
+	reportFields  []string // of the load report at the end of an answer; empty if hosts send none
+	deadline      int64    // end of the wait for the host's answer, as Unix time in nanoseconds
+	cancelDial    func()   // nil unless the connection is being opened
+	conn          *netio.Conn
+	stage         netio.Stage
+	connectionEnd *netio.Error // how the host ended the connection, whose last lines may not be relayed yet; nil if it has not
+	ended         bool
 }
 
 var _ proxy.Upstream = (*upstream)(nil)
@@ -63,8 +63,8 @@
 			return
 		}
 		if line == nil {
-			if u.endOfHost != nil {
-				u.notifyEnd(u.endOfHost)
+			if u.connectionEnd != nil {
+				u.notifyEnd(u.connectionEnd)
 			}
 			return
 		}
@@ -96,7 +96,7 @@
 func (u *upstream) Closed(c *netio.Conn, err *netio.Error) {
 	// u.stage is the progress of the request; err.Stage is that of the connection. The latter is lower if the
 	// layer found that the host refused the connection: then the host has read nothing, whatever was written.
-	u.endOfHost = &netio.Error{Stage: min(u.stage, err.Stage), Cause: err.Cause, Detail: err.Detail}
+	u.connectionEnd = &netio.Error{Stage: min(u.stage, err.Stage), Cause: err.Cause, Detail: err.Detail}
 	u.RelayPending() // a slow client must still get the lines from before the end
 }
 
@@ -112,7 +112,7 @@
 // the host has ended is not released: done gets a negative FD. No event follows.
 func (u *upstream) Release(done func(netio.ReleasedConn)) {
 	u.ended = true
-	if u.conn == nil || u.endOfHost != nil {
+	if u.conn == nil || u.connectionEnd != nil {
 		u.loop.Post(func() { done(netio.ReleasedConn{FD: -1}) })
 		return
 	}
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -116,15 +116,15 @@
 
 // netpoll closes an open connection if the kernel has no memory for watching or reading it. The connection
 // must continue and keep the input received so far.
-func TestAConnectionOutlivesNetpollGivingItUp(t *testing.T) {
+func TestAConnectionOutlivesACloseByNetpoll(t *testing.T) {
 	for _, times := range []int{1, 3} {
-		givenUp := 0
+		closes := 0
 		_, addr, _ := serve(t, func(c *Conn) {
 			if in := string(c.Input()); len(in) < 8 || in[len(in)-1] != '.' {
 				return
 			}
-			if givenUp < times {
-				givenUp++
+			if closes < times {
+				closes++
 				c.transport.Close() // as netpoll does for lack of memory
 				return
 			}
@@ -148,7 +148,7 @@
 func TestAConnectOutlivesAMachineShortOfDescriptors(t *testing.T) {
 	l, addr, _ := serve(t, func(*Conn) {})
 	d := NewDialer(l, 1)
-	real := d.dial
+	dialNetpoll := d.dial
 	for _, c := range []struct {
 		err         error
 		established bool
@@ -158,7 +158,7 @@
 			if attempts++; attempts <= 3 {
 				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", c.err)}
 			}
-			return real(network, addr, timeout)
+			return dialNetpoll(network, addr, timeout)
 		}
 		established := make(chan bool)
 		l.Post(func() {
--- a/internal/dataplane/netio/finish_test.go
+++ b/internal/dataplane/netio/finish_test.go
@@ -32,7 +32,7 @@
 
 // Discard with a last line completes the partly written line and sends the last one. Discard without one
 // sends nothing, since another process resumes the connection.
-func TestPartsAreDiscardedWithTheirRest(t *testing.T) {
+func TestDiscardSendsTheUnsentRest(t *testing.T) {
 	for _, c := range []struct{ last, want string }{{"MOVE\r\n", "of a line\r\nMOVE\r\n"}, {"", ""}} {
 		pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
 		if err != nil {
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// peer is a handler that calls data for Data and Writable, and sends the error of Closed to closed.
-type peer struct {
+// funcHandler is a handler that calls data for Data and Writable, and sends the error of Closed to closed.
+type funcHandler struct {
 	data   func(c *Conn)
 	closed chan *Error
 }
 
-func (p *peer) Data(c *Conn)               { p.data(c) }
-func (p *peer) Writable(c *Conn)           { p.data(c) }
-func (p *peer) Closed(c *Conn, err *Error) { p.closed <- err }
+func (p *funcHandler) Data(c *Conn)               { p.data(c) }
+func (p *funcHandler) Writable(c *Conn)           { p.data(c) }
+func (p *funcHandler) Closed(c *Conn, err *Error) { p.closed <- err }
 
 // attachedLoop returns a loop that is attached to the poller and does not run yet.
 func attachedLoop(t *testing.T) *Loop {
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	closed := make(chan *Error, 8)
-	addr, err := Listen(l, "127.0.0.1:0", 4096, func(*Conn) Handler { return &peer{data, closed} })
+	addr, err := Listen(l, "127.0.0.1:0", 4096, func(*Conn) Handler { return &funcHandler{data, closed} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 	refusing := closedListener.Addr().String()
 	closedListener.Close()
 	results := make(chan string, 8)
-	handler := &peer{data: func(c *Conn) { results <- string(c.Input()); c.Close() }}
+	handler := &funcHandler{data: func(c *Conn) { results <- string(c.Input()); c.Close() }}
 	l.Post(func() {
 		d.Dial(addr, time.Minute, 4096, handler, func(*Conn, *Error) { results <- "done called after Cancel" }).Cancel()
 		d.Dial(refusing, time.Minute, 4096, handler, func(c *Conn, err *Error) {
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -15,17 +15,17 @@
 	}
 }
 
-// releaseLoop releases and resumes a connection repeatedly until the connection ends.
-type releaseLoop struct {
+// repeatedReleaser releases and resumes a connection repeatedly until the connection ends.
+type repeatedReleaser struct {
 	t        *testing.T
 	loop     *Loop
-	handler  *peer
+	handler  *funcHandler
 	released int
 	final    chan ReleasedConn // receives the result of the release that failed
 }
 
 // releaseAndResume releases the connection after 1 ms and resumes it. At the end it sends to final.
-func (r *releaseLoop) releaseAndResume(c *Conn) {
+func (r *repeatedReleaser) releaseAndResume(c *Conn) {
 	r.loop.After(time.Millisecond, func() {
 		c.Release(func(p ReleasedConn) {
 			if p.FD < 0 {
@@ -47,7 +47,7 @@
 // A connection that is released and resumed repeatedly while bytes flow in both directions must neither lose
 // nor change any.
 func TestReleaseLosesNothing(t *testing.T) {
-	r := &releaseLoop{t: t, loop: attachedLoop(t), handler: &peer{data: echo, closed: make(chan *Error, 8)}, final: make(chan ReleasedConn, 1)}
+	r := &repeatedReleaser{t: t, loop: attachedLoop(t), handler: &funcHandler{data: echo, closed: make(chan *Error, 8)}, final: make(chan ReleasedConn, 1)}
 	addr, err := Listen(r.loop, "127.0.0.1:0", 4096, func(c *Conn) Handler {
 		r.releaseAndResume(c)
 		return r.handler
