--- a/internal/testbed/experiment/command.go
+++ b/internal/testbed/experiment/command.go
@@ -41,23 +41,23 @@
 
 // program is the command line's state.
 type program struct {
-	self     string // path of croftlock-experiment
-	proxy    string // path of the program that experiments run
-	earlier  string // path of an earlier build of it; "": none
-	out      string // folder for reports; "": none are saved
-	boundsOK bool   // no bound was missed so far
+	self      string // path of croftlock-experiment
+	proxy     string // path of the program that experiments run
+	earlier   string // path of an earlier build of it; "": none
+	reportDir string // folder for reports; "": none are saved
+	boundsOK  bool   // no bound was missed so far
 }
 
 // Main is croftlock-experiment's command line, with the commands of this package and more; it returns the exit status.
-func Main(args []string, more ...*cobra.Command) int {
+func Main(args []string, commands ...*cobra.Command) int {
 	self, _ := os.Executable()
 	p := &program{self: self, boundsOK: true}
 	root := &cobra.Command{Use: "croftlock-experiment", Short: "Experiments with croftlock on loopback", SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().StringVar(&p.proxy, "croftlock", filepath.Join(filepath.Dir(self), "croftlock"), "the program to run")
 	root.PersistentFlags().StringVar(&p.earlier, "earlier", "", "an earlier build: in ops-upgrade it and the program replace each other in turn")
-	root.PersistentFlags().StringVar(&p.out, "out", "", "folder to keep the report in, as JSON")
+	root.PersistentFlags().StringVar(&p.reportDir, "out", "", "folder to keep the report in, as JSON")
 	root.AddCommand(fleetCommand(), membersCommand(), simCommand(), listCommand(), p.runCommand(), p.demoCommand(), relayCommand())
-	root.AddCommand(more...)
+	root.AddCommand(commands...)
 	root.SetArgs(args)
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "croftlock-experiment:", err)
@@ -72,8 +72,8 @@
 func listCommand() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Name the experiments", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			for _, x := range experiments {
-				fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", x.name, x.short)
+			for _, e := range experiments {
+				fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", e.name, e.short)
 			}
 		}}
 }
@@ -83,11 +83,11 @@
 		Example: "  croftlock-experiment run tls-bad tls-storm --out reports", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			for _, name := range args {
-				x := experimentNamed(name)
-				if x == nil {
+				found := experimentNamed(name)
+				if found == nil {
 					return fmt.Errorf("no experiment %q; croftlock-experiment list names them", name)
 				}
-				if err := p.run(*x); err != nil {
+				if err := p.run(*found); err != nil {
 					return fmt.Errorf("%s: %w", name, err)
 				}
 			}
@@ -128,8 +128,8 @@
 	}
 	r.Print(os.Stdout)
 	p.boundsOK = p.boundsOK && r.OK()
-	if p.out != "" {
-		return r.Save(p.out)
+	if p.reportDir != "" {
+		return r.Save(p.reportDir)
 	}
 	return nil
 }
--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -122,14 +122,14 @@
 
 // config is the process's configuration file.
 func (s *Setup) config() processConfig {
-	lists := discoveryPolled
+	discoveryMode := discoveryPolled
 	if s.ListsPushed {
-		lists = discoveryPushed
+		discoveryMode = discoveryPushed
 	}
 	return processConfig{
 		Name: s.Name, Listen: s.Listen, Admin: s.Admin, Discovery: s.Discovery, Seed: "1f", Known: s.InitialList, PeerListen: s.Tier.Listen, Peers: s.Tier.Peers,
 		Limits: processLimits{Cores: s.Cores, MemoryMB: s.MemoryMB, Sockets: s.MaxDescriptors},
-		Settings: processSettings{Number: s.Tier.Index, PeersTotal: max(1, len(s.Tier.Peers)), Discovery: lists,
+		Settings: processSettings{Number: s.Tier.Index, PeersTotal: max(1, len(s.Tier.Peers)), Discovery: discoveryMode,
 			Bounds: processBounds{MayAnnounce: len(s.Tier.Peers) > 0, MaxAttempts: 5, ConnectTimeout: int64(s.ConnectTimeout), RetryAfter: true,
 				MaxRetryAfter: int64(time.Second)},
 			Contract: processContract{MustQueryIn: int64(10 * time.Second)},
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// lateAfter is by how much an answer may exceed the client's wait before it counts as late.
-const lateAfter = 50 * time.Millisecond
+// latenessTolerance is by how much an answer may exceed the client's wait before it counts as late.
+const latenessTolerance = 50 * time.Millisecond
 
 // answerCounts counts the answers to requests.
 type answerCounts struct {
@@ -28,7 +28,7 @@
 	if a.Kind != "NONE" {
 		c.milliseconds = append(c.milliseconds, float64(a.Latency)/1e6)
 	}
-	if a.Latency > wait+lateAfter {
+	if a.Latency > wait+latenessTolerance {
 		c.late++
 	}
 }
@@ -58,20 +58,20 @@
 }
 
 // openLoop calls do at a fixed rate, without waiting for the earlier calls, and returns once all have ended.
-func openLoop(rate float64, length time.Duration, do func(i int)) {
-	var all sync.WaitGroup
+func openLoop(rate float64, duration time.Duration, do func(i int)) {
+	var calls sync.WaitGroup
 	startedAt := time.Now()
 	for i := 0; ; i++ {
 		at := time.Duration(float64(i) / rate * 1e9)
-		if at >= length {
+		if at >= duration {
 			break
 		}
 		time.Sleep(time.Until(startedAt.Add(at)))
-		all.Add(1)
+		calls.Add(1)
 		go func() {
-			defer all.Done()
+			defer calls.Done()
 			do(i)
 		}()
 	}
-	all.Wait()
+	calls.Wait()
 }
--- a/internal/testbed/experiment/member.go
+++ b/internal/testbed/experiment/member.go
@@ -10,8 +10,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// killTurns is how often each number of deaths is played.
-const killTurns = 20
+// killRounds is how often each number of deaths is played.
+const killRounds = 20
 
 // memberKill kills one, and a third, of 5 and of 15 processes.
 func memberKill(e *Env, r *Report) error {
@@ -23,14 +23,14 @@
 			return err
 		}
 		defer rig.Close()
-		for _, kill := range []int{1, n / 3} {
-			known, back, err := rig.killRepeatedly(kill)
+		for _, killed := range []int{1, n / 3} {
+			known, back, err := rig.killRepeatedly(killed)
 			if err != nil {
 				return err
 			}
 			p99 := known[len(known)-1]
-			r.AddRow(table, n, kill, len(known), known[len(known)/2], p99, back[len(back)/2])
-			r.Check(p99 < 3*time.Second, fmt.Sprintf("%d of %d killed: all know within 3 s", kill, n), p99)
+			r.AddRow(table, n, killed, len(known), known[len(known)/2], p99, back[len(back)/2])
+			r.Check(p99 < 3*time.Second, fmt.Sprintf("%d of %d killed: all know within 3 s", killed, n), p99)
 		}
 		rig.Close()
 	}
@@ -39,15 +39,15 @@
 
 // killRepeatedly kills a number of processes again and again, others each time, and returns, sorted, how long the survivors took to know,
 // and all to see one another alive again.
-func (r *Rig) killRepeatedly(kill int) (known, back []time.Duration, err error) {
+func (r *Rig) killRepeatedly(killed int) (detected, recovered []time.Duration, err error) {
 	n := len(r.Procs)
-	for turn := range killTurns {
+	for round := range killRounds {
 		if _, ok := r.AwaitAllAlive(30 * time.Second); !ok {
-			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive after 30 s", n, turn)
+			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive after 30 s", n, round)
 		}
 		var dead, alive []int
 		for i := range n {
-			if (i+turn)%n < kill {
+			if (i+round)%n < killed {
 				dead = append(dead, i)
 			} else {
 				alive = append(alive, i)
@@ -55,9 +55,9 @@
 		}
 		took, err := r.killAndAwait(dead, alive)
 		if err != nil {
-			return nil, nil, fmt.Errorf("%d processes, turn %d: %w", n, turn, err)
+			return nil, nil, fmt.Errorf("%d processes, turn %d: %w", n, round, err)
 		}
-		known = append(known, took)
+		detected = append(detected, took)
 		for _, i := range dead {
 			<-r.Procs[i].done
 			if err := r.Start(i); err != nil {
@@ -66,13 +66,13 @@
 		}
 		took, ok := r.AwaitAllAlive(30 * time.Second)
 		if !ok {
-			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive 30 s after the restart", n, turn)
+			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive 30 s after the restart", n, round)
 		}
-		back = append(back, took)
+		recovered = append(recovered, took)
 	}
-	slices.Sort(known)
-	slices.Sort(back)
-	return known, back, nil
+	slices.Sort(detected)
+	slices.Sort(recovered)
+	return detected, recovered, nil
 }
 
 // killAndAwait kills processes, and returns how long it takes until all others know.
@@ -107,7 +107,7 @@
 		if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
 			return fmt.Errorf("not all alive before a pause of %v", pause)
 		}
-		givenUpBefore, accusedBefore := rig.logLines("to=unreachable", others...), rig.accusations(paused)
+		unreachableBefore, accusedBefore := rig.logLines("to=unreachable", others...), rig.accusations(paused)
 		rig.Procs[paused].Signal(syscall.SIGSTOP)
 		time.Sleep(pause)
 		rig.Procs[paused].Signal(syscall.SIGCONT)
@@ -116,12 +116,12 @@
 			return fmt.Errorf("not alive at all 20 s after a pause of %v", pause)
 		}
 		time.Sleep(2 * time.Second)
-		givenUp, accused := rig.logLines("to=unreachable", others...)-givenUpBefore, rig.accusations(paused)-accusedBefore
-		r.AddRow(table, pause, givenUp, back, accused)
+		unreachable, accused := rig.logLines("to=unreachable", others...)-unreachableBefore, rig.accusations(paused)-accusedBefore
+		r.AddRow(table, pause, unreachable, back, accused)
 		if pause < 2*time.Second {
-			r.Check(givenUp == 0, fmt.Sprintf("a pause of %v removes no member", pause), givenUp)
+			r.Check(unreachable == 0, fmt.Sprintf("a pause of %v removes no member", pause), unreachable)
 		} else {
-			r.Check(givenUp == 4, "a pause of 10 s is noticed by all", givenUp)
+			r.Check(unreachable == 4, "a pause of 10 s is noticed by all", unreachable)
 		}
 		r.Check(back < time.Second, fmt.Sprintf("%v: refuted within 1 s", pause), back)
 		r.Check(accused == 0, fmt.Sprintf("%v: the paused process accuses no other", pause), accused)
@@ -144,7 +144,7 @@
 
 // memberLoss plays a loss of a fifth of all datagrams for five minutes, then the death of one process.
 func memberLoss(e *Env, r *Report) error {
-	const lasts = 5 * time.Minute
+	const duration = 5 * time.Minute
 	rig, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 		return errors.New("not all alive after 30 s")
 	}
 	rig.applyToLinks(func(int, int) bool { return true }, func(l *fake.Link) { l.Loss = 0.2 })
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	gone, unreachable := 0, 0
 	for _, p := range rig.Procs {
 		gone += len(p.LogLines("to=gone"))
@@ -164,7 +164,7 @@
 	took, ok := rig.AwaitMemberState(20*time.Second, []int{0, 1, 3, 4}, 2, "unreachable", "gone")
 	r.AddValue("unreachable", unreachable)
 	r.AddValue("detected", took)
-	r.Check(gone == 0, fmt.Sprintf("no member gone in %v at a loss of 20%%", lasts), gone)
+	r.Check(gone == 0, fmt.Sprintf("no member gone in %v at a loss of 20%%", duration), gone)
 	r.Check(ok && took < 5*time.Second, "a death is known to all within 5 s", took)
 	return nil
 }
--- a/internal/testbed/experiment/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -14,7 +14,7 @@
 // detector is a way to detect failures, as the simulation measures it.
 type detector struct {
 	name    string
-	measure func(n int, loss float64, lasts simulation.Time, seed uint64) simulation.Cost
+	measure func(n int, loss float64, duration simulation.Time, seed uint64) simulation.Cost
 }
 
 // detectors are the program's own failure detector, first, and the alternatives.
@@ -25,13 +25,13 @@
 }
 
 const (
-	costLasts = 60 * simulation.Sec
-	costSeeds = 5
+	costDuration = 60 * simulation.Sec
+	costSeeds    = 5
 	// Large fleets are simulated once, for a shorter time: each step costs more there.
-	largeFleet      = 300
-	largeFleetLasts = 20 * simulation.Sec
-	// neverKnown stands for a death that not all members learnt of.
-	neverKnown = simulation.Time(1 << 62)
+	largeFleet         = 300
+	largeFleetDuration = 20 * simulation.Sec
+	// undetected stands for a death that not all members learnt of.
+	undetected = simulation.Time(1 << 62)
 )
 
 // detectorRun is one detector in one fleet at one loss.
@@ -44,12 +44,12 @@
 
 // simulate measures the run, a cost for each seed.
 func (d *detectorRun) simulate() {
-	seeds, lasts := costSeeds, costLasts
+	seeds, duration := costSeeds, costDuration
 	if d.members >= largeFleet {
-		seeds, lasts = 1, largeFleetLasts
+		seeds, duration = 1, largeFleetDuration
 	}
 	for seed := range seeds {
-		d.costs = append(d.costs, detectors[d.detector].measure(d.members, d.loss, lasts, uint64(seed+1)))
+		d.costs = append(d.costs, detectors[d.detector].measure(d.members, d.loss, duration, uint64(seed+1)))
 	}
 }
 
@@ -61,22 +61,22 @@
 	return alarms
 }
 
-// knownAfter is the median and the longest time until a death was known.
-func (d *detectorRun) knownAfter() (median, longest simulation.Time) {
-	var known []simulation.Time
+// detectionTimes is the median and the longest time until a death was known.
+func (d *detectorRun) detectionTimes() (median, longest simulation.Time) {
+	var times []simulation.Time
 	for _, c := range d.costs {
 		if c.DetectionTime < 0 {
-			c.DetectionTime = neverKnown
+			c.DetectionTime = undetected
 		}
-		known = append(known, c.DetectionTime)
+		times = append(times, c.DetectionTime)
 	}
-	slices.Sort(known)
-	return known[len(known)/2], known[len(known)-1]
+	slices.Sort(times)
+	return times[len(times)/2], times[len(times)-1]
 }
 
-// knownText is a time until a death was known, in milliseconds.
-func knownText(t simulation.Time) string {
-	if t == neverKnown {
+// detectionTimeText is a time until a death was known, in milliseconds.
+func detectionTimeText(t simulation.Time) string {
+	if t == undetected {
 		return "over 15000"
 	}
 	return fmt.Sprint(t / simulation.Ms)
@@ -91,9 +91,9 @@
 	slices.SortStableFunc(runs, func(a, b *detectorRun) int { return cmp.Or(a.detector-b.detector, a.members-b.members) })
 	messages := map[int]float64{} // of the program's own detector without loss, by members
 	for _, d := range runs {
-		median, longest := d.knownAfter()
+		median, longest := d.detectionTimes()
 		r.AddRow(table, detectors[d.detector].name, d.members, d.loss, fmt.Sprintf("%.1f", d.costs[0].Messages), fmt.Sprintf("%.0f", d.costs[0].Bytes),
-			knownText(median)+", "+knownText(longest), fmt.Sprintf("%.1f", d.falseAlarms()))
+			detectionTimeText(median)+", "+detectionTimeText(longest), fmt.Sprintf("%.1f", d.falseAlarms()))
 		if d.detector == 0 && d.loss == 0 {
 			messages[d.members] = d.costs[0].Messages
 		}
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -14,10 +14,10 @@
 
 // linkCut is a set of cut links among five processes.
 type linkCut struct {
-	name       string
-	cut        func(from, to int) bool // the links that it cuts
-	lost       []int                   // processes that the others may have as unreachable
-	reportedBy int                     // the process that has to report the cut link; -1: none
+	name             string
+	cut              func(from, to int) bool // the links that it cuts
+	mayBeUnreachable []int                   // processes that the others may have as unreachable
+	reportedBy       int                     // the process that has to report the cut link; -1: none
 }
 
 var linkCuts = []linkCut{
@@ -27,8 +27,8 @@
 	{"0, 1 from 2, 3, 4", func(from, to int) bool { return (from < 2) != (to < 2) }, []int{0, 1}, -1},
 }
 
-// cutLasts is how long each cut lasts.
-const cutLasts = 8 * time.Second
+// cutDuration is how long each cut lasts.
+const cutDuration = 8 * time.Second
 
 // memberCut cuts one link in one direction, all links to and from a process, and two processes off from three.
 func memberCut(e *Env, r *Report) error {
@@ -49,13 +49,13 @@
 			return err
 		}
 		rig.applyToLinks(c.cut, func(l *fake.Link) { l.Cut = false })
-		heal, ok := rig.AwaitAllAlive(20 * time.Second)
+		recovered, ok := rig.AwaitAllAlive(20 * time.Second)
 		if !ok {
 			return fmt.Errorf("%s: not all alive 20 s after healing", c.name)
 		}
-		r.AddRow(table, c.name, seen.wronglyLost, seen.reportedAfter, heal)
-		r.Check(seen.wronglyLost == 0, c.name+": the majority has no process as unreachable that it hears", seen.wronglyLost)
-		r.Check(heal < 3*time.Second, c.name+": all alive within 3 s of healing", heal)
+		r.AddRow(table, c.name, seen.falselyUnreachable, seen.reportedAfter, recovered)
+		r.Check(seen.falselyUnreachable == 0, c.name+": the majority has no process as unreachable that it hears", seen.falselyUnreachable)
+		r.Check(recovered < 3*time.Second, c.name+": all alive within 3 s of healing", recovered)
 		if c.reportedBy >= 0 {
 			r.Check(seen.reportedAfter >= 0 && seen.reportedAfter < 3*time.Second, c.name+": the cut link is reported within 3 s", seen.reportedAfter)
 		}
@@ -65,14 +65,14 @@
 
 // cutObservation is a process's view of the members during a cut.
 type cutObservation struct {
-	reportedAfter time.Duration // from the cut to the report of the cut link; -1: it was not reported
-	wronglyLost   int           // members that were unreachable or gone and must not be, in all polls
+	reportedAfter      time.Duration // from the cut to the report of the cut link; -1: it was not reported
+	falselyUnreachable int           // members that were unreachable or gone and must not be, in all polls
 }
 
 // observe polls one process of the majority while the cut lasts.
 func (c *linkCut) observe(rig *Rig) (seen cutObservation, err error) {
 	seen.reportedAfter = -1
-	for startedAt := time.Now(); time.Since(startedAt) < cutLasts; time.Sleep(50 * time.Millisecond) {
+	for startedAt := time.Now(); time.Since(startedAt) < cutDuration; time.Sleep(50 * time.Millisecond) {
 		report, err := rig.RequestMemberReport(3)
 		if err != nil {
 			return seen, err
@@ -81,8 +81,8 @@
 			if m.Slot == c.reportedBy && len(m.Unheard) > 0 && seen.reportedAfter < 0 {
 				seen.reportedAfter = time.Since(startedAt)
 			}
-			if (m.State == "unreachable" || m.State == "gone") && !slices.Contains(c.lost, m.Slot) {
-				seen.wronglyLost++
+			if (m.State == "unreachable" || m.State == "gone") && !slices.Contains(c.mayBeUnreachable, m.Slot) {
+				seen.falselyUnreachable++
 			}
 		}
 	}
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -11,61 +11,61 @@
 )
 
 const (
-	opsTimeout       = 2 * time.Second // of clients
-	opsPersistent    = 40              // persistent clients
-	opsRate          = 60.0            // short-lived connections a second
-	upgrades         = 20
-	upgradeTimeout   = 6 * time.Second        // until a new process is ready
-	drainNoticeLimit = 250 * time.Millisecond // from a suspension until the host gets nothing new
+	opsTimeout        = 2 * time.Second // of clients
+	opsPersistent     = 40              // persistent clients
+	opsConnectionRate = 60.0            // short-lived connections a second
+	upgrades          = 20
+	upgradeTimeout    = 6 * time.Second        // until a new process is ready
+	drainNoticeLimit  = 250 * time.Millisecond // from a suspension until the host gets nothing new
 )
 
 // opsUpgrade plays 20 hot restarts under load, and the death of a process at each step of one.
 func opsUpgrade(e *Env, r *Report) error {
-	s, err := newProxySite(e, opsRate)
+	s, err := newProxySite(e, opsConnectionRate)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	unanswered, ready, err := s.upgradeUnderLoad(r)
+	unanswered, readyTimes, err := s.upgradeUnderLoad(r)
 	if err != nil {
 		return err
 	}
 	resumed := s.resumedByCurrent()
 	r.StartTable(deathTable, "step", "short-lived clients without an answer", "serving process")
 	for _, step := range deathSteps {
-		if err := s.playDeath(r, step); err != nil {
+		if err := s.checkDeath(r, step); err != nil {
 			return fmt.Errorf("%s: %w", step, err)
 		}
 	}
 	r.AddValue("unanswered", unanswered)
-	r.AddValue("ready_ms", ready)
+	r.AddValue("ready_ms", readyTimes)
 	r.AddValue("resumed_by_last", resumed)
 	return nil
 }
 
 // upgradeUnderLoad replaces the process again and again, and reports what clients noticed. It returns how many short-lived ones got no
 // answer, and the milliseconds until each new process was ready.
-func (s *proxySite) upgradeUnderLoad(r *Report) (unanswered int, ready samples, err error) {
-	var leave samples // milliseconds
+func (s *proxySite) upgradeUnderLoad(r *Report) (unanswered int, readyTimes samples, err error) {
+	var exitTimes samples // milliseconds
 	for range upgrades {
-		readyIn, leftIn, err := s.hotRestart()
+		readyIn, exitedIn, err := s.hotRestart()
 		if err != nil {
 			return 0, nil, err
 		}
-		ready, leave = append(ready, readyIn.Seconds()*1e3), append(leave, leftIn.Seconds()*1e3)
+		readyTimes, exitTimes = append(readyTimes, readyIn.Seconds()*1e3), append(exitTimes, exitedIn.Seconds()*1e3)
 		time.Sleep(500 * time.Millisecond)
 	}
 	unanswered = s.unanswered()
 	const title = "hot restarts under load"
 	r.StartTable(title, "processes", "short-lived clients", "unanswered", "persistent", "lost", "migrated", "new one ready, ms", "old one ended, ms")
 	r.AddRow(title, upgrades, s.shortLived.count("UP")+s.shortLived.count("BUSY")+s.shortLived.count("ERR")+unanswered, unanswered, opsPersistent,
-		len(s.persistent.lost), s.persistent.migrations, ready, leave)
+		len(s.persistent.lost), s.persistent.migrations, readyTimes, exitTimes)
 	r.Check(unanswered == 0, "connections without an answer", unanswered)
 	s.checkPersistent(r)
-	r.Check(ready.quantile(1) < 6000, "ms until the new process is ready, at most 6,000", ready)
-	r.Check(leave.quantile(1) < 3700, "ms from SIGTERM to the old process's end, at most 3,700", leave)
+	r.Check(readyTimes.quantile(1) < 6000, "ms until the new process is ready, at most 6,000", readyTimes)
+	r.Check(exitTimes.quantile(1) < 3700, "ms from SIGTERM to the old process's end, at most 3,700", exitTimes)
 	r.Check(s.shortLived.count("ERR") == 0, "short-lived clients that failed", s.shortLived.count("ERR"))
-	return unanswered, ready, nil
+	return unanswered, readyTimes, nil
 }
 
 // checkPersistent checks that no persistent connection was lost.
@@ -97,9 +97,9 @@
 
 var deathSteps = []deathStep{newBeforeReady, oldBeforeReady, newAfterReady}
 
-// playDeath kills a process at a step, and reports what clients noticed. A client that the killed process has accepted loses its
+// checkDeath kills a process at a step, and reports what clients noticed. A client that the killed process has accepted loses its
 // connection; one in the listening socket's queue does not.
-func (s *proxySite) playDeath(r *Report, step deathStep) error {
+func (s *proxySite) checkDeath(r *Report, step deathStep) error {
 	before := s.unanswered()
 	serving, err := s.killAtStep(step)
 	if err != nil {
@@ -147,37 +147,37 @@
 
 // opsSuspend suspends a host and resumes it, three times, with list changes and a hot restart in between.
 func opsSuspend(e *Env, r *Report) error {
-	s, err := newProxySite(e, opsRate)
+	s, err := newProxySite(e, opsConnectionRate)
 	if err != nil {
 		return err
 	}
 	defer s.close()
 	r.StartTable(suspendTable, "round", "requests within 250 ms", "requests after", "established after 1.25 s", "first request after the resumption, ms")
-	lateRequests, firsts := 0, samples{}
+	lateRequests, firstTimes := 0, samples{}
 	for round := range 3 {
 		time.Sleep(2 * time.Second)
-		o, err := s.suspendAndResume()
+		observed, err := s.suspendAndResume()
 		if err != nil {
 			return err
 		}
-		lateRequests += o.sentAfter
-		if o.firstMS > 0 {
-			firsts = append(firsts, o.firstMS)
+		lateRequests += observed.sentAfter
+		if observed.firstMS > 0 {
+			firstTimes = append(firstTimes, observed.firstMS)
 		}
-		r.AddRow(suspendTable, round+1, o.sentInNotice, o.sentAfter, o.established, o.firstMS)
-		r.Check(o.firstMS > 0, fmt.Sprintf("round %d: it receives requests within 5 s of the resumption", round+1), o.firstMS)
+		r.AddRow(suspendTable, round+1, observed.sentInNotice, observed.sentAfter, observed.established, observed.firstMS)
+		r.Check(observed.firstMS > 0, fmt.Sprintf("round %d: it receives requests within 5 s of the resumption", round+1), observed.firstMS)
 	}
 	status, _, _, _ := CallAdmin(s.admin, "POST", "/v1/catalogue-servers/nobody/suspend")
 	r.Check(status == 404, "status for an ID that was never listed, want 404", status)
 	r.Check(lateRequests == 0, "requests to a suspended host after its grace", lateRequests)
 	s.checkPersistent(r)
 	r.AddValue("requests_after_grace", lateRequests)
-	r.AddValue("first_ms", firsts)
+	r.AddValue("first_ms", firstTimes)
 	return nil
 }
 
-// suspension is what a host received around one suspension.
-type suspension struct {
+// suspensionOutcome is what a host received around one suspensionOutcome.
+type suspensionOutcome struct {
 	sentInNotice int     // requests within the notice limit
 	sentAfter    int     // requests after it
 	established  int     // connections that were left 1.25 s after the suspension
@@ -185,35 +185,35 @@
 }
 
 // suspendAndResume suspends the first host, plays list changes and a hot restart that must not end the suspension, and resumes it.
-func (s *proxySite) suspendAndResume() (o suspension, err error) {
+func (s *proxySite) suspendAndResume() (outcome suspensionOutcome, err error) {
 	host, path := s.upstreams.servers[0], "/v1/catalogue-servers/"+s.upstreams.servers[0].UID
 	requests := func() int { n, _ := host.Requests(); return n }
 	before := requests()
 	if status, body, _, err := CallAdmin(s.admin, "POST", path+"/suspend"); err != nil || status != 200 {
-		return o, fmt.Errorf("suspend: %d %s %v", status, body, err)
+		return outcome, fmt.Errorf("suspend: %d %s %v", status, body, err)
 	}
 	time.Sleep(drainNoticeLimit)
 	atLimit := requests()
 	s.upstreams.discovery.Set(host.Entry()) // a new revision in which it is up
 	time.Sleep(time.Second)
-	o.established = host.Established()
+	outcome.established = host.Established()
 	if _, _, err := s.hotRestart(); err != nil {
-		return o, err
+		return outcome, err
 	}
 	s.upstreams.discovery.SetState(host.UID, "draining")
 	s.upstreams.discovery.SetState(host.UID, "up")
 	time.Sleep(2 * time.Second)
 	atEnd := requests()
-	o.sentInNotice, o.sentAfter = atLimit-before, atEnd-atLimit
+	outcome.sentInNotice, outcome.sentAfter = atLimit-before, atEnd-atLimit
 	startedAt := time.Now()
 	if status, _, _, err := CallAdmin(s.admin, "POST", path+"/resume"); err != nil || status != 200 {
-		return o, fmt.Errorf("resume: %d %v", status, err)
+		return outcome, fmt.Errorf("resume: %d %v", status, err)
 	}
-	for time.Since(startedAt) < 5*time.Second && o.firstMS == 0 {
+	for time.Since(startedAt) < 5*time.Second && outcome.firstMS == 0 {
 		if requests() > atEnd {
-			o.firstMS = time.Since(startedAt).Seconds() * 1e3
+			outcome.firstMS = time.Since(startedAt).Seconds() * 1e3
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return o, nil
+	return outcome, nil
 }
--- a/internal/testbed/experiment/opsmetrics.go
+++ b/internal/testbed/experiment/opsmetrics.go
@@ -83,18 +83,18 @@
 	answers := func(kind string) int { return s.shortLived.count(kind) + s.persistent.answers.count(kind) }
 	const title = "metrics against the counts of clients and hosts"
 	r.StartTable(title, "metric", "value", "counted", "deviation")
-	for _, x := range []struct {
+	for _, expected := range []struct {
 		name    string
 		counted int
 	}{{"replies." + requestClass + ".success", answers("UP")}, {"replies." + requestClass + ".overload", answers("BUSY")},
 		{"replies." + requestClass + ".error", answers("ERR")}, {"dispatches", requests}, {"concurrent", 0}, {"targets", 3}} {
-		value, found := metrics[x.name]
+		value, found := metrics[expected.name]
 		if !found {
 			value = -1
 		}
-		off := max(value-x.counted, x.counted-value)
-		deviation = max(deviation, off)
-		r.AddRow(title, x.name, value, x.counted, off)
+		difference := max(value-expected.counted, expected.counted-value)
+		deviation = max(deviation, difference)
+		r.AddRow(title, expected.name, value, expected.counted, difference)
 	}
 	return deviation
 }
@@ -107,28 +107,28 @@
 		programs = append(programs, before)
 	}
 	r.StartTable(title, "program", "a placement", "a line and its answer")
-	placing, passing := make([]samples, len(programs)), make([]samples, len(programs))
+	placementCPU, lineCPU := make([]samples, len(programs)), make([]samples, len(programs))
 	for range rounds {
 		for i, program := range programs {
-			placement, line, err := s.costs(program)
+			placement, line, err := s.measureCPU(program)
 			if err != nil {
 				return err
 			}
-			placing[i], passing[i] = append(placing[i], placement), append(passing[i], line)
+			placementCPU[i], lineCPU[i] = append(placementCPU[i], placement), append(lineCPU[i], line)
 		}
 	}
 	for i, name := range []string{"this one", "before"}[:len(programs)] {
-		r.AddRow(title, name, placing[i], passing[i])
+		r.AddRow(title, name, placementCPU[i], lineCPU[i])
 	}
 	return nil
 }
 
-// costs measures a program: the microseconds of CPU of a placement, and of a line and its answer.
-func (s *proxySite) costs(program string) (placement, line float64, err error) {
+// measureCPU measures a program: the microseconds of CPU of a placement, and of a line and its answer.
+func (s *proxySite) measureCPU(program string) (placement, line float64, err error) {
 	const placements, lines = 400, 2000
-	with := s.setup
-	with.Listen, with.TmpDir, with.Program = "", "", program
-	p, err := s.Proxy(with)
+	setup := s.setup
+	setup.Listen, setup.TmpDir, setup.Program = "", "", program
+	p, err := s.Proxy(setup)
 	if err != nil {
 		return 0, 0, err
 	}
--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -14,12 +14,12 @@
 
 // ownerChaos plays a fault every 2 s for two minutes, under a constant load of clients.
 func ownerChaos(e *Env, r *Report) error {
-	c := &chaosRun{env: e, report: r, lasts: 120 * time.Second, rate: 200}
+	c := &chaosRun{env: e, report: r, duration: 120 * time.Second, clientRate: 200}
 	r.StartTable(chaosTable, "run", "clients", "served", "failed", "p50 ms", "p99 ms")
-	if err := c.withoutFaults(); err != nil {
+	if err := c.runWithoutFaults(); err != nil {
 		return err
 	}
-	return c.withFaults()
+	return c.runWithFaults()
 }
 
 const chaosTable = "placements at a constant rate of clients"
@@ -28,18 +28,18 @@
 type chaosRun struct {
 	env         *Env
 	report      *Report
-	lasts       time.Duration
-	rate        float64 // clients a second
+	duration    time.Duration
+	clientRate  float64 // clients a second
 	baselineP99 float64 // of a placement without faults, milliseconds
 }
 
 // newRig starts five processes, three of them replicas.
 func (c *chaosRun) newRig() (*Rig, error) {
-	f, err := newUpstreams(c.env, 3, false)
+	hosts, err := newUpstreams(c.env, 3, false)
 	if err != nil {
 		return nil, err
 	}
-	rig, err := NewRigWithOptions(c.env, RigOptions{Processes: 5, Seed: 7, Key: sealKey, LogLevel: "debug", Upstreams: f, SettingsSections: ownersSection(3, true, "(drill 20) (hosts on)")})
+	rig, err := NewRigWithOptions(c.env, RigOptions{Processes: 5, Seed: 7, Key: sealKey, LogLevel: "debug", Upstreams: hosts, SettingsSections: ownersSection(3, true, "(drill 20) (hosts on)")})
 	if err != nil {
 		return nil, err
 	}
@@ -50,54 +50,54 @@
 	return rig, nil
 }
 
-// withoutFaults places clients without faults.
-func (c *chaosRun) withoutFaults() error {
+// runWithoutFaults places clients without faults.
+func (c *chaosRun) runWithoutFaults() error {
 	rig, err := c.newRig()
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
-	answers := c.placements(rig)
+	answers := c.placeClients(rig)
 	c.baselineP99 = answers.milliseconds.quantile(0.99)
-	c.row("no faults", answers)
+	c.addRow("no faults", answers)
 	return nil
 }
 
-// withFaults places clients while faults happen and operators call.
-func (c *chaosRun) withFaults() error {
+// runWithFaults places clients while faults happen and operators call.
+func (c *chaosRun) runWithFaults() error {
 	rig, err := c.newRig()
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
-	h := &operatorHistory{rig: rig, stopping: make(chan struct{})}
+	history := &operatorHistory{rig: rig, stopping: make(chan struct{})}
 	faultsEnded := make(chan struct{})
 	go func() {
 		defer close(faultsEnded)
-		h.playFaults(rand.New(rand.NewPCG(11, 11)), c.lasts)
+		history.injectFaults(rand.New(rand.NewPCG(11, 11)), c.duration)
 	}()
-	h.startCallers(3)
-	answers := c.placements(rig)
+	history.startCallers(3)
+	answers := c.placeClients(rig)
 	<-faultsEnded
-	c.row("a fault every 2 s", answers)
+	c.addRow("a fault every 2 s", answers)
 	failed, p99 := answers.total()-answers.count("UP"), answers.milliseconds.quantile(0.99)
 	c.report.Check(failed == 0, "no client fails during the faults", failed)
 	c.report.Check(p99 <= 1.1*c.baselineP99, "p99 of placement within a tenth of the run without faults", fmt.Sprintf("%.2f, %.2f ms", p99, c.baselineP99))
 	if _, err := rig.AwaitJobsOwned(chaosJobs); err != nil {
 		return err
 	}
-	h.stopCallers()
-	c.check(rig, h)
+	history.stopCallers()
+	c.checkGuarantees(rig, history)
 	return nil
 }
 
-// placements opens connections at the rate, each for a second, at the processes that get no faults: what the death of a proxy does to its
+// placeClients opens connections at the rate, each for a second, at the processes that get no faults: what the death of a proxy does to its
 // own clients has nothing to do with owners.
-func (c *chaosRun) placements(rig *Rig) *answerCounts {
+func (c *chaosRun) placeClients(rig *Rig) *answerCounts {
 	const wait = 2 * time.Second
 	answers := newAnswerCounts()
 	var next atomic.Int64
-	openLoop(c.rate, c.lasts, func(int) {
+	openLoop(c.clientRate, c.duration, func(int) {
 		p := rig.Procs[3+int(next.Add(1))%2]
 		client, a, err := fake.Open(p.Addr, requestClass, "", wait)
 		if err != nil {
@@ -112,24 +112,24 @@
 	return answers
 }
 
-func (c *chaosRun) row(name string, answers *answerCounts) {
+func (c *chaosRun) addRow(name string, answers *answerCounts) {
 	total, served := answers.total(), answers.count("UP")
 	c.report.AddRow(chaosTable, name, total, served, total-served, answers.milliseconds.quantile(0.5), answers.milliseconds.quantile(0.99))
 }
 
-// check checks the owners' guarantees against the logs and the history of operators' calls.
-func (c *chaosRun) check(rig *Rig, h *operatorHistory) {
+// checkGuarantees checks the owners' guarantees against the logs and the history of operators' calls.
+func (c *chaosRun) checkGuarantees(rig *Rig, history *operatorHistory) {
 	r := c.report
 	stale, rejected := rig.staleEffects()
 	r.Check(stale == 0, "no effect of an older token is accepted after a newer one's", fmt.Sprintf("%d; %d rejected", stale, rejected))
 	err := rig.CheckTokens()
 	r.Check(err == nil, "no token belongs to two processes", err)
-	ok, calls, unknown := h.check()
-	r.Check(ok && calls > 20, "the history of suspended hosts is linearizable", fmt.Sprintf("%d calls, %d of them unknown, %d faults", calls, unknown, h.faultCount))
+	ok, calls, unknown := history.check()
+	r.Check(ok && calls > 20, "the history of suspended hosts is linearizable", fmt.Sprintf("%d calls, %d of them unknown, %d faults", calls, unknown, history.faultCount))
 	gaps := rig.effectGaps()
-	if n := len(gaps); n > 0 {
-		p99 := gaps[n*99/100]
+	if count := len(gaps); count > 0 {
+		p99 := gaps[count*99/100]
 		r.Check(p99 <= 5*time.Second, "a job without an owner for no more than 5 s at p99", fmt.Sprintf("median %v, p99 %v, worst %v of %d",
-			gaps[n/2].Round(time.Millisecond), p99.Round(time.Millisecond), gaps[n-1].Round(time.Millisecond), n))
+			gaps[count/2].Round(time.Millisecond), p99.Round(time.Millisecond), gaps[count-1].Round(time.Millisecond), count))
 	}
 }
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -24,13 +24,13 @@
 	r.AddValue("cpu_membership_alone", fmt.Sprintf("%.4f", membership))
 	for _, voters := range []int{3, 5} {
 		for _, disks := range []bool{true, false} {
-			g := ownerGroup{voters, disks}
-			if err := g.cost(e, r, membership); err != nil {
+			group := ownerGroup{voters, disks}
+			if err := group.measure(e, r, membership); err != nil {
 				return err
 			}
 		}
 	}
-	took, err := rawSyncs(e.Dir)
+	took, err := measureSyncs(e.Dir)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	ownerCostTable     = "cost of owners"
 	ownerCostProcesses = 6
 	ownerCostDrills    = 6 // jobs, beside that of the suspended hosts
-	idleSpan           = 8 * time.Second
+	idleDuration       = 8 * time.Second
 )
 
 // membershipCPU is the part of a core that an idle process with membership alone takes.
@@ -57,7 +57,7 @@
 		return 0, errors.New("not all members are alive")
 	}
 	time.Sleep(2 * time.Second)
-	return cpuOf(idle, idleSpan)[4], nil
+	return measureCPUShares(idle, idleDuration)[4], nil
 }
 
 // ownerGroup is a kind of group of replicas.
@@ -70,8 +70,8 @@
 	return NewRigWithOptions(e, RigOptions{Processes: ownerCostProcesses, Seed: 3, Key: sealKey, SettingsSections: ownersSection(g.voters, g.disks, sections)})
 }
 
-// cost measures one kind of group; membership is the CPU of an idle process without owners.
-func (g ownerGroup) cost(e *Env, r *Report, membership float64) error {
+// measure measures one kind of group; membership is the CPU of an idle process without owners.
+func (g ownerGroup) measure(e *Env, r *Report, membership float64) error {
 	moved, killed, err := g.handoverTimes(e)
 	if err != nil {
 		return err
@@ -108,8 +108,8 @@
 
 // moveTimes moves jobs from owner to owner, and returns the milliseconds that each move took.
 func moveTimes(rig *Rig, owners map[string]int) (took samples, err error) {
-	for turn := range 40 {
-		job := fmt.Sprintf("drill%03d", turn%ownerCostDrills)
+	for round := range 40 {
+		job := fmt.Sprintf("drill%03d", round%ownerCostDrills)
 		to := (owners[job] + 1) % ownerCostProcesses
 		startedAt := time.Now()
 		reply, err := rig.SendOwnerRequest(0, owneragent.Request{Command: "move", Argument: job, SecondArgument: fmt.Sprintf("n%d", to)})
@@ -129,12 +129,12 @@
 
 // killTimes kills owners, and returns the milliseconds until another process acquires a job of each.
 func killTimes(rig *Rig) (took samples, err error) {
-	for turn := range 5 {
+	for round := range 5 {
 		owners, err := rig.AwaitJobsOwned(ownerCostDrills + 1)
 		if err != nil {
 			return nil, err
 		}
-		job, startedAt := fmt.Sprintf("drill%03d", turn), time.Now()
+		job, startedAt := fmt.Sprintf("drill%03d", round), time.Now()
 		owner := owners[job]
 		rig.Procs[owner].Kill()
 		if _, ok := AwaitCondition(20*time.Second, func() bool { return rig.acquiredByOther(owner, job, startedAt) }); !ok {
@@ -150,9 +150,9 @@
 }
 
 // acquiredByOther returns whether a process other than the given one acquired a job since a time.
-func (r *Rig) acquiredByOther(than int, job string, from time.Time) bool {
+func (r *Rig) acquiredByOther(owner int, job string, from time.Time) bool {
 	for i := range r.Procs {
-		if i != than && len(r.acquisitionTimes(i, job, from)) > 0 {
+		if i != owner && len(r.acquisitionTimes(i, job, from)) > 0 {
 			return true
 		}
 	}
@@ -166,26 +166,26 @@
 }
 
 // idleCost measures a group with one idle job, where only consensus and leases cost.
-func (g ownerGroup) idleCost(e *Env) (c idleGroup, err error) {
+func (g ownerGroup) idleCost(e *Env) (idle idleGroup, err error) {
 	rig, err := g.newRig(e, "(hosts on)")
 	if err != nil {
-		return c, err
+		return idle, err
 	}
 	defer rig.Close()
 	if _, err := rig.AwaitJobsOwned(1); err != nil {
-		return c, err
+		return idle, err
 	}
 	time.Sleep(2 * time.Second)
 	reply, err := rig.SendOwnerRequest(0, owneragent.Request{Command: "owners"})
 	if err != nil {
-		return c, err
+		return idle, err
 	}
 	const follower = ownerCostProcesses - 1
 	leader, _ := strconv.Atoi(strings.TrimPrefix(reply.Leader, "n"))
 	before := rig.bytesSent()
-	cpu := cpuOf(rig, idleSpan)
+	cpu := measureCPUShares(rig, idleDuration)
 	after := rig.bytesSent()
-	perSecond := func(i int) int { return (after[i] - before[i]) / int(idleSpan/time.Second) }
+	perSecond := func(i int) int { return (after[i] - before[i]) / int(idleDuration/time.Second) }
 	return idleGroup{leaderCPU: cpu[leader], voterCPU: cpu[(leader+1)%g.voters], followerCPU: cpu[follower],
 		leaderBytes: perSecond(leader), followerBytes: perSecond(follower)}, nil
 }
@@ -200,22 +200,22 @@
 	return sent
 }
 
-// cpuOf is the part of a core that each process of a rig takes over a time.
-func cpuOf(r *Rig, lasts time.Duration) []float64 {
+// measureCPUShares is the part of a core that each process of a rig takes over a time.
+func measureCPUShares(r *Rig, duration time.Duration) []float64 {
 	before := make([]time.Duration, len(r.Procs))
 	for i, p := range r.Procs {
 		before[i] = p.CPUTime()
 	}
-	time.Sleep(lasts)
-	parts := make([]float64, len(r.Procs))
+	time.Sleep(duration)
+	shares := make([]float64, len(r.Procs))
 	for i, p := range r.Procs {
-		parts[i] = float64(p.CPUTime()-before[i]) / float64(lasts)
+		shares[i] = float64(p.CPUTime()-before[i]) / float64(duration)
 	}
-	return parts
+	return shares
 }
 
-// rawSyncs are the milliseconds of each of 200 writes of 4 KiB with a sync, as a measure of the disk itself.
-func rawSyncs(dir string) (took samples, err error) {
+// measureSyncs are the milliseconds of each of 200 writes of 4 KiB with a sync, as a measure of the disk itself.
+func measureSyncs(dir string) (took samples, err error) {
 	f, err := os.Create(filepath.Join(dir, "raw"))
 	if err != nil {
 		return nil, err
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -18,8 +18,8 @@
 type diskFault struct {
 	name string
 	// damage changes the store's file while its process is down; copied is the file at an earlier time. nil: the disk is full for a while.
-	damage func(path string, copied []byte) error
-	phase  string // of the replica afterwards, or the state of its store; "": either unreadable or member
+	damage        func(path string, copied []byte) error
+	expectedState string // of the replica afterwards, or the state of its store; "": either unreadable or member
 }
 
 var diskFaults = []diskFault{
@@ -33,8 +33,8 @@
 
 // accepts returns whether the fault may lead to a replica's state.
 func (f *diskFault) accepts(state string) bool {
-	if f.phase != "" {
-		return strings.Contains(state, f.phase)
+	if f.expectedState != "" {
+		return strings.Contains(state, f.expectedState)
 	}
 	return strings.Contains(state, "unreadable") || strings.Contains(state, "member")
 }
@@ -52,7 +52,7 @@
 	r.StartTable(table, "fault", "turns", "commands answered", "lost", "expected state")
 	for _, f := range diskFaults {
 		e.Logf("%s", f.name)
-		outcomes, err := f.atEachReplica(e)
+		outcomes, err := f.runAtEachReplica(e)
 		if err != nil {
 			return err
 		}
@@ -70,18 +70,18 @@
 	return nil
 }
 
-// atEachReplica plays the fault at each of three replicas, on rigs in parallel.
-func (f *diskFault) atEachReplica(e *Env) (outcomes [3]diskOutcome, err error) {
+// runAtEachReplica plays the fault at each of three replicas, on rigs in parallel.
+func (f *diskFault) runAtEachReplica(e *Env) (outcomes [3]diskOutcome, err error) {
 	var errs [3]error
-	var plays sync.WaitGroup
+	var runs sync.WaitGroup
 	for voter := range outcomes {
-		plays.Add(1)
+		runs.Add(1)
 		go func() {
-			defer plays.Done()
-			outcomes[voter], errs[voter] = f.play(e, voter)
+			defer runs.Done()
+			outcomes[voter], errs[voter] = f.run(e, voter)
 		}()
 	}
-	plays.Wait()
+	runs.Wait()
 	for voter, err := range errs {
 		if err != nil {
 			return outcomes, fmt.Errorf("%s at n%d: %w", f.name, voter, err)
@@ -114,47 +114,47 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// play plays the fault at a replica's disk during a stream of commands, and counts the answered commands without effect afterwards.
-func (f *diskFault) play(e *Env, voter int) (o diskOutcome, err error) {
+// run plays the fault at a replica's disk during a stream of commands, and counts the answered commands without effect afterwards.
+func (f *diskFault) run(e *Env, voter int) (outcome diskOutcome, err error) {
 	rig, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 5, Key: sealKey, SettingsSections: ownersSection(3, true, "(hosts on)")})
 	if err != nil {
-		return o, err
+		return outcome, err
 	}
 	defer rig.Close()
 	if _, err := rig.AwaitJobsOwned(1); err != nil {
-		return o, err
+		return outcome, err
 	}
 	stream := startSuspensionStream(rig)
 	time.Sleep(time.Second)
 	path := filepath.Join(rig.Dir(voter), "voter.db")
 	copied, err := os.ReadFile(path)
 	if err != nil {
-		return o, err
+		return outcome, err
 	}
 	// The store has to change, so that the copy is an older state.
 	if err := stream.awaitAnswers(10); err != nil {
-		return o, err
+		return outcome, err
 	}
 	if err := f.inject(rig, voter, path, copied); err != nil {
-		return o, err
+		return outcome, err
 	}
 	time.Sleep(8 * time.Second)
-	done := stream.stopStream()
+	done := stream.stopAndWait()
 	if _, err := rig.AwaitJobsOwned(1); err != nil {
-		return o, err
+		return outcome, err
 	}
 	suspended, err := suspendedHosts(rig)
 	if err != nil {
-		return o, err
+		return outcome, err
 	}
-	o.answered = len(done)
+	outcome.answered = len(done)
 	for _, id := range done {
 		if !slices.Contains(suspended, id) {
-			o.lost++
+			outcome.lost++
 		}
 	}
-	o.state, err = voterState(rig, voter)
-	return o, err
+	outcome.state, err = voterState(rig, voter)
+	return outcome, err
 }
 
 // inject plays the fault, and has the replica run again.
@@ -212,8 +212,8 @@
 	return nil
 }
 
-// stopStream ends the stream and returns the hosts whose suspension was answered as done.
-func (s *suspensionStream) stopStream() []string {
+// stopAndWait ends the stream and returns the hosts whose suspension was answered as done.
+func (s *suspensionStream) stopAndWait() []string {
 	close(s.stop)
 	return <-s.finished
 }
@@ -233,12 +233,12 @@
 
 // voterState is the state of a replica's store, and its phase in the group.
 func voterState(rig *Rig, voter int) (string, error) {
-	rep, err := rig.SendOwnerRequest(voter, owneragent.Request{Command: "status"})
+	reply, err := rig.SendOwnerRequest(voter, owneragent.Request{Command: "status"})
 	if err != nil {
 		return "", err
 	}
-	if rep.Group != nil {
-		return rep.Store + " " + rep.Group.Phase, nil
+	if reply.Group != nil {
+		return reply.Store + " " + reply.Group.Phase, nil
 	}
-	return rep.Store, nil
+	return reply.Store, nil
 }
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -29,14 +29,14 @@
 
 // handovers shuts down or replaces one process after the other, and returns the milliseconds for which each of their jobs had no owner.
 func handovers(e *Env, how string, disks bool) (samples, error) {
-	const jobs, turns = 20, 8
+	const jobs, rounds = 20, 8
 	r, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, SettingsSections: ownersSection(3, disks, fmt.Sprintf("(drill %d)", jobs))})
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
 	var took samples
-	for turn := range turns {
+	for round := range rounds {
 		if _, err := r.AwaitJobsOwned(jobs); err != nil {
 			return nil, err
 		}
@@ -45,8 +45,8 @@
 			return nil, errors.New("the replicas are not ready")
 		}
 		time.Sleep(4 * time.Second)
-		startedAt, old := time.Now(), r.Procs[turn%5]
-		if err := r.handOver(turn%5, how); err != nil {
+		startedAt, old := time.Now(), r.Procs[round%5]
+		if err := r.handOver(round%5, how); err != nil {
 			return nil, err
 		}
 		if _, err := r.AwaitJobsOwned(jobs); err != nil {
@@ -90,22 +90,22 @@
 		if released.Before(since) {
 			continue
 		}
-		if gap := r.untilAcquired(logField(line, "job"), released); gap >= 0 {
+		if gap := r.timeUntilAcquired(logField(line, "job"), released); gap >= 0 {
 			gaps = append(gaps, float64(gap)/1e6)
 		}
 	}
 	return gaps
 }
 
-// untilAcquired is the time from a moment to a job's next acquisition; -1: there was none.
-func (r *Rig) untilAcquired(job string, from time.Time) time.Duration {
+// timeUntilAcquired is the time from a moment to a job's next acquisition; -1: there was none.
+func (r *Rig) timeUntilAcquired(job string, from time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := time.Duration(-1)
 	for _, p := range r.incarnations {
 		for _, line := range p.LogLines("event=job_acquired ") {
-			if d := logTime(line).Sub(from); logField(line, "job") == job && d >= 0 && (next < 0 || d < next) {
-				next = d
+			if elapsed := logTime(line).Sub(from); logField(line, "job") == job && elapsed >= 0 && (next < 0 || elapsed < next) {
+				next = elapsed
 			}
 		}
 	}
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -46,8 +46,8 @@
 	callUnknown = "unknown"
 )
 
-// registerModel is a host's state: whether it is suspended.
-var registerModel = porcupine.Model{
+// suspensionModel is a host's state: whether it is suspended.
+var suspensionModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
 		in := input.(operatorCall)
@@ -102,17 +102,17 @@
 
 // record adds a call and its output.
 func (h *operatorHistory) record(client int, c operatorCall, calledAt time.Time, reply owneragent.Reply, err error) {
-	op := porcupine.Operation{ClientId: client, Input: c, Call: calledAt.UnixNano(), Output: callUnknown, Return: time.Now().UnixNano()}
+	operation := porcupine.Operation{ClientId: client, Input: c, Call: calledAt.UnixNano(), Output: callUnknown, Return: time.Now().UnixNano()}
 	done := err == nil && reply.Error == "" && !strings.HasPrefix(reply.Answer, "unknown") && !strings.HasPrefix(reply.Answer, "refused")
 	if done && c.kind == listCall {
 		_, list, _ := strings.Cut(reply.Answer, ": ")
-		op.Output = fmt.Sprint(slices.Contains(strings.Fields(list), c.host))
+		operation.Output = fmt.Sprint(slices.Contains(strings.Fields(list), c.host))
 	} else if done {
-		op.Output = callDone
+		operation.Output = callDone
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.operations = append(h.operations, op)
+	h.operations = append(h.operations, operation)
 }
 
 // stopCallers ends the callers.
@@ -141,44 +141,44 @@
 	}
 	linearizable = true
 	for _, ops := range byHost {
-		linearizable = linearizable && porcupine.CheckOperations(registerModel, ops)
+		linearizable = linearizable && porcupine.CheckOperations(suspensionModel, ops)
 	}
 	return linearizable, len(h.operations), unknown
 }
 
-// playFaults plays a fault every 2 s, at one of the three replicas at a time, so that a majority remains.
-func (h *operatorHistory) playFaults(rng *rand.Rand, lasts time.Duration) {
-	for end := time.Now().Add(lasts - 4*time.Second); time.Now().Before(end); h.faultCount++ {
+// injectFaults plays a fault every 2 s, at one of the three replicas at a time, so that a majority remains.
+func (h *operatorHistory) injectFaults(rng *rand.Rand, duration time.Duration) {
+	for end := time.Now().Add(duration - 4*time.Second); time.Now().Before(end); h.faultCount++ {
 		voter, other := rng.IntN(3), 0
 		for other = rng.IntN(5); other == voter; other = rng.IntN(5) {
 		}
-		if h.rig.playVoterFault(voter, other, rng.IntN(5)) != nil {
+		if h.rig.injectVoterFault(voter, other, rng.IntN(5)) != nil {
 			return
 		}
 	}
 }
 
-// voterFaultLasts is how long each fault of a replica lasts.
-const voterFaultLasts = 2 * time.Second
+// voterFaultDuration is how long each fault of a replica lasts.
+const voterFaultDuration = 2 * time.Second
 
-// playVoterFault plays one of five kinds of fault at a replica: killed, paused, cut off, its link to one other cut, or datagrams lost.
-func (r *Rig) playVoterFault(voter, other, kind int) error {
+// injectVoterFault plays one of five kinds of fault at a replica: killed, paused, cut off, its link to one other cut, or datagrams lost.
+func (r *Rig) injectVoterFault(voter, other, kind int) error {
 	during := func(set func(on bool)) {
 		set(true)
-		time.Sleep(voterFaultLasts)
+		time.Sleep(voterFaultDuration)
 		set(false)
 	}
 	switch kind {
 	case 0:
 		r.Procs[voter].Kill()
-		time.Sleep(voterFaultLasts / 2)
+		time.Sleep(voterFaultDuration / 2)
 		if err := r.Start(voter); err != nil {
 			return err
 		}
-		time.Sleep(voterFaultLasts / 2)
+		time.Sleep(voterFaultDuration / 2)
 	case 1:
 		r.Procs[voter].Signal(syscall.SIGSTOP)
-		time.Sleep(voterFaultLasts)
+		time.Sleep(voterFaultDuration)
 		r.Procs[voter].Signal(syscall.SIGCONT)
 	case 2:
 		during(func(on bool) { r.SetCutOff(voter, on) })
@@ -187,7 +187,7 @@
 	case 4:
 		touches := func(from, to int) bool { return from == voter || to == voter }
 		r.applyToLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicates = 0.3, 0.2 })
-		time.Sleep(voterFaultLasts)
+		time.Sleep(voterFaultDuration)
 		r.applyToLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicates = 0, 0 })
 	}
 	return nil
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -29,7 +29,7 @@
 		{"inbound cut for 30 s", (*lateOwner).cutInbound}, {"outbound cut for 30 s", (*lateOwner).cutOutbound}}
 )
 
-const lateFor = 30 * time.Second
+const lateDuration = 30 * time.Second
 
 // lateOutcome is the outcome of late owners.
 type lateOutcome struct {
@@ -45,25 +45,25 @@
 	const table = "late owners: five processes, three replicas with disks"
 	r.StartTable(table, "case", "fence", "jobs of late owners", "stale effects accepted", "rejected", "without an owner, median, worst")
 	for _, c := range lateCases {
-		o, err := c.play(e, true)
+		outcome, err := c.run(e, true)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
-		o.row(r, table, c.name, true)
-		r.Check(o.stale == 0 && o.jobs >= 50, c.name+": 50 jobs of late owners or more, and no stale effect accepted",
-			fmt.Sprintf("%d of %d", o.stale, o.jobs))
+		outcome.addRow(r, table, c.name, true)
+		r.Check(outcome.stale == 0 && outcome.jobs >= 50, c.name+": 50 jobs of late owners or more, and no stale effect accepted",
+			fmt.Sprintf("%d of %d", outcome.stale, outcome.jobs))
 	}
-	o, err := pausedCase.play(e, false)
+	outcome, err := pausedCase.run(e, false)
 	if err != nil {
 		return fmt.Errorf("%s: %w", pausedCase.name, err)
 	}
-	o.row(r, table, pausedCase.name, false)
-	r.Check(o.stale > 0, "without the fence stale effects are found", o.stale)
+	outcome.addRow(r, table, pausedCase.name, false)
+	r.Check(outcome.stale > 0, "without the fence stale effects are found", outcome.stale)
 	return nil
 }
 
-// row adds the outcome to the table.
-func (o *lateOutcome) row(r *Report, table, name string, fence bool) {
+// addRow adds the outcome to the table.
+func (o *lateOutcome) addRow(r *Report, table, name string, fence bool) {
 	slices.Sort(o.gaps)
 	median, worst := time.Duration(0), time.Duration(0)
 	if n := len(o.gaps); n > 0 {
@@ -72,29 +72,29 @@
 	r.AddRow(table, name, fence, o.jobs, o.stale, o.rejected, fmt.Sprint(median.Round(time.Millisecond), ", ", worst.Round(time.Millisecond)))
 }
 
-// play makes the owners of many jobs late, on several rigs in parallel.
-func (c lateCase) play(e *Env, fence bool) (sum lateOutcome, err error) {
+// run makes the owners of many jobs late, on several rigs in parallel.
+func (c lateCase) run(e *Env, fence bool) (total lateOutcome, err error) {
 	const rigs = 3
 	var outcomes [rigs]lateOutcome
 	var errs [rigs]error
-	var plays sync.WaitGroup
+	var runs sync.WaitGroup
 	for k := range rigs {
-		plays.Add(1)
+		runs.Add(1)
 		go func() {
-			defer plays.Done()
-			outcomes[k], errs[k] = c.playOnRig(e, fence, uint64(k+1))
+			defer runs.Done()
+			outcomes[k], errs[k] = c.runOnRig(e, fence, uint64(k+1))
 		}()
 	}
-	plays.Wait()
+	runs.Wait()
 	for _, o := range outcomes {
-		sum.jobs, sum.stale, sum.rejected = sum.jobs+o.jobs, sum.stale+o.stale, sum.rejected+o.rejected
-		sum.gaps = append(sum.gaps, o.gaps...)
+		total.jobs, total.stale, total.rejected = total.jobs+o.jobs, total.stale+o.stale, total.rejected+o.rejected
+		total.gaps = append(total.gaps, o.gaps...)
 	}
-	return sum, cmp.Or(errs[:]...)
+	return total, cmp.Or(errs[:]...)
 }
 
-// playOnRig makes one process late, which owns about a fifth of the jobs.
-func (c lateCase) playOnRig(e *Env, fence bool, seed uint64) (outcome lateOutcome, err error) {
+// runOnRig makes one process late, which owns about a fifth of the jobs.
+func (c lateCase) runOnRig(e *Env, fence bool, seed uint64) (outcome lateOutcome, err error) {
 	const jobs = 100
 	r, err := newLateRig(e, fence, jobs, seed)
 	if err != nil {
@@ -105,18 +105,18 @@
 	if err != nil {
 		return outcome, err
 	}
-	l := &lateOwner{rig: r, process: int(seed) % 5}
+	late := &lateOwner{rig: r, process: int(seed) % 5}
 	for job, i := range owners {
-		if i == l.process {
-			l.jobs = append(l.jobs, job)
+		if i == late.process {
+			late.jobs = append(late.jobs, job)
 		}
 	}
-	slices.Sort(l.jobs)
-	if len(l.jobs) == 0 {
+	slices.Sort(late.jobs)
+	if len(late.jobs) == 0 {
 		return outcome, errors.New("the process that is to be late owns no job")
 	}
 	startedAt := time.Now()
-	if err := c.inject(l); err != nil {
+	if err := c.inject(late); err != nil {
 		return outcome, err
 	}
 	time.Sleep(2 * time.Second)
@@ -126,10 +126,10 @@
 	if err := r.CheckTokens(); err != nil {
 		return outcome, err
 	}
-	for _, g := range r.ownerGaps(startedAt, l.jobs) {
+	for _, g := range r.ownerGaps(startedAt, late.jobs) {
 		outcome.gaps = append(outcome.gaps, g)
 	}
-	outcome.jobs = len(l.jobs)
+	outcome.jobs = len(late.jobs)
 	outcome.stale, outcome.rejected = r.staleEffects()
 	return outcome, nil
 }
@@ -137,12 +137,12 @@
 // newLateRig starts five processes with many jobs, with the fence or without it.
 func newLateRig(e *Env, fence bool, jobs int, seed uint64) (*Rig, error) {
 	// Without a key: sealed datagrams that are 30 s late are rejected before they reach the fence, which is to be tested.
-	o := RigOptions{Processes: 5, Seed: seed, LogLevel: "debug", SettingsSections: ownersSection(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
+	options := RigOptions{Processes: 5, Seed: seed, LogLevel: "debug", SettingsSections: ownersSection(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
 	env := *e
 	if !fence {
-		env.Croftlock, o.Env = e.Self, []string{FaultInjectionEnv + "=forget"}
+		env.Croftlock, options.Env = e.Self, []string{FaultInjectionEnv + "=forget"}
 	}
-	return NewRigWithOptions(&env, o)
+	return NewRigWithOptions(&env, options)
 }
 
 // lateOwner is a process that is made late, and the jobs that it owned before.
@@ -153,7 +153,7 @@
 }
 
 // changeLinks changes the links between the process and all others, in both directions.
-func (l *lateOwner) changeLinks(change func(link *fake.Link, out bool)) {
+func (l *lateOwner) changeLinks(change func(link *fake.Link, outbound bool)) {
 	for j := range l.rig.Procs {
 		if j != l.process {
 			l.rig.Mesh.UpdateLink(l.process, j, func(link *fake.Link) { change(link, true) })
@@ -167,7 +167,7 @@
 	if _, err := l.rig.SendOwnerRequest(l.process, owneragent.Request{Command: "late", Argument: l.jobs[0]}); err != nil {
 		return err
 	}
-	time.Sleep(lateFor)
+	time.Sleep(lateDuration)
 	l.rig.Procs[l.process].Signal(syscall.SIGCONT)
 	return nil
 }
@@ -176,14 +176,14 @@
 func (l *lateOwner) delayDatagrams() error {
 	l.changeLinks(func(link *fake.Link, out bool) {
 		if out {
-			link.Delay = lateFor
+			link.Delay = lateDuration
 		}
 	})
 	time.Sleep(600 * time.Millisecond) // each job has an effect among the delayed datagrams
 	l.changeLinks(func(link *fake.Link, _ bool) { link.Delay = 0; link.Cut = true })
-	time.Sleep(lateFor / 2)
+	time.Sleep(lateDuration / 2)
 	l.changeLinks(func(link *fake.Link, _ bool) { link.Cut = false })
-	time.Sleep(lateFor/2 + time.Second)
+	time.Sleep(lateDuration/2 + time.Second)
 	return nil
 }
 
@@ -193,9 +193,9 @@
 // cutOutbound cuts the links from the process.
 func (l *lateOwner) cutOutbound() error { return l.cutLinks(func(out bool) bool { return out }) }
 
-func (l *lateOwner) cutLinks(which func(out bool) bool) error {
-	l.changeLinks(func(link *fake.Link, out bool) { link.Cut = which(out) })
-	time.Sleep(lateFor)
+func (l *lateOwner) cutLinks(selects func(out bool) bool) error {
+	l.changeLinks(func(link *fake.Link, out bool) { link.Cut = selects(out) })
+	time.Sleep(lateDuration)
 	l.changeLinks(func(link *fake.Link, _ bool) { link.Cut = false })
 	return nil
 }
