--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -27,11 +27,11 @@
 type Agent struct {
 	loop         *netio.Loop
 	core         *membership.Core
-	name         string
+	name         string // of this process
 	transport    transport
 	channels     channels
 	reportSocket net.Listener // nil if the settings specify no socket
-	closed       bool
+	closed       bool         // whether Stop was called
 }
 
 // Platform describes the platform's own link between its proxies, which is used if the section has no
@@ -39,8 +39,8 @@
 // the link is its slot.
 type Platform struct {
 	Link       *peers.Link // nil if the platform has no link
-	ProxyCount int
-	OwnNumber  int // number of this process on the link
+	ProxyCount int         // number of proxies on the link, including this process
+	OwnNumber  int         // number of this process on the link
 }
 
 // Start starts an Agent for the process with the given name. started is the start time of the process, from
@@ -57,7 +57,8 @@
 	if seal != nil {
 		cfg.Overhead = membership.SealLength
 	} else {
-		// Whoever can reach the address can send datagrams in the name of any member.
+		// Without a seal, any sender that can reach the address can send datagrams in the name of any
+		// member.
 		slog.Warn("membership_unsealed", "reason", "no_keys")
 	}
 	a := &Agent{loop: loop, name: name, transport: transport{seal: seal, learnsAddresses: len(cfg.Seeds) > 0}, channels: channels{}}
@@ -120,6 +121,7 @@
 	return err
 }
 
+// tick calls Core.Tick and schedules the next call, until the Agent has stopped.
 func (a *Agent) tick() {
 	if a.closed {
 		return
@@ -138,6 +140,7 @@
 	return true
 }
 
+// receive handles a datagram from the member at slot.
 func (a *Agent) receive(slot int, data []byte) {
 	if data, ok := a.unseal(slotField(slot), data); ok {
 		if err := a.core.Receive(a.loop.Now(), slot, data); err != nil {
@@ -146,6 +149,7 @@
 	}
 }
 
+// receiveFrom handles a datagram from an address, if addresses are learnt.
 func (a *Agent) receiveFrom(from netip.AddrPort, data []byte) {
 	if data, ok := a.unseal(addressField(from), data); ok {
 		if err := a.core.ReceiveFrom(a.loop.Now(), from, data); err != nil {
@@ -154,6 +158,8 @@
 	}
 }
 
+// unseal returns a datagram without its seal. It returns false if the seal is not valid or the Agent has
+// stopped.
 func (a *Agent) unseal(from slog.Attr, data []byte) ([]byte, bool) {
 	if a.closed {
 		return nil, false
@@ -161,7 +167,7 @@
 	return a.transport.unseal(from, data)
 }
 
-// Send implements membership.Effects.
+// Send implements membership.Effects. It seals and sends the datagram.
 func (a *Agent) Send(slot int, data []byte) {
 	data = a.transport.sealDatagram(data)
 	if a.transport.learnsAddresses {
--- a/internal/fleet/memberagent/options.go
+++ b/internal/fleet/memberagent/options.go
@@ -14,9 +14,9 @@
 
 const (
 	defaultFleet      = "croftlock"
-	maxFleetName      = 64 // bytes
-	maxFleetSize      = 10000
-	maxKeys           = 2 // the old and the new key during a key change
+	maxFleetName      = 64    // bytes
+	maxFleetSize      = 10000 // members
+	maxKeys           = 2     // during a key change, the old and the new key
 	addressFormat     = "an address with a port"
 	addressListFormat = "addresses with ports"
 )
@@ -25,13 +25,14 @@
 type Options struct {
 	Enabled bool   // whether this process takes part; default false
 	Fleet   string // name of the fleet; datagrams of another fleet are rejected; default "croftlock"
-	// Listen is the address of this process for datagrams. It is empty if the platform's link is used.
+	// Listen is the address at which this process receives datagrams. It is empty if the platform's link
+	// is used.
 	Listen string
-	Peers  []string // addresses of all members as reached from here, including this process's own
+	Peers  []string // addresses of all members, as this process reaches them, including its own
 	// Seeds are the addresses of some members. They replace Peers if members come and go.
 	Seeds []string
 	// FleetSize is the intended number of members, of which a majority is more than half. Zero means the
-	// number of addresses.
+	// number of Peers or Seeds, or of the platform's proxies.
 	FleetSize int
 	// Keys are the paths of at most two key files. The first key seals datagrams, and either opens them.
 	// Without keys, datagrams are not sealed.
@@ -52,6 +53,7 @@
 	}}
 }
 
+// bind declares the fields of the section, which it stores in o.
 func (o *Options) bind(f *settings.FieldSet) {
 	f.Bool("on", "whether proxies tell one another who is there, by datagrams", &o.Enabled)
 	f.Text("fleet", "name of the fleet; others' datagrams are refused", "a name", &o.Fleet, func(s string) bool { return s != "" && len(s) <= maxFleetName })
@@ -77,6 +79,7 @@
 	}
 }
 
+// isAddress reports whether s is an IP address with a port.
 func isAddress(s string) bool {
 	_, err := netip.ParseAddrPort(s)
 	return err == nil
--- a/internal/fleet/memberagent/rejection.go
+++ b/internal/fleet/memberagent/rejection.go
@@ -16,13 +16,14 @@
 	reasonOtherVersion     rejectionReason = "other_version"
 	reasonOtherFleet       rejectionReason = "other_fleet"
 	reasonUnknownKey       rejectionReason = "unknown_key"
-	reasonReplayed         rejectionReason = "replayed"
+	reasonReplayed         rejectionReason = "replayed"           // received before, or too old to tell
 	reasonOwnName          rejectionReason = "own_name"           // the sender uses this process's name
 	reasonNameInUse        rejectionReason = "name_in_use"        // the sender uses the name of another live member
 	reasonRejectedByMember rejectionReason = "rejected_by_member" // the sender does not admit this process
-	reasonUnknown          rejectionReason = "unknown"
+	reasonUnknown          rejectionReason = "unknown"            // an error without a reason of its own
 )
 
+// reasonOfError holds the reasons of the errors that contain no further fields.
 var reasonOfError = map[error]rejectionReason{
 	membership.ErrMalformed:    reasonMalformed,
 	membership.ErrOtherVersion: reasonOtherVersion,
@@ -54,6 +55,8 @@
 	return []any{"reason", reasonUnknown}
 }
 
+// slotField returns the log field for a sender that is known by its slot.
 func slotField(slot int) slog.Attr { return slog.Int("slot", slot) }
 
+// addressField returns the log field for a sender that is known by its address.
 func addressField(address netip.AddrPort) slog.Attr { return slog.String("address", address.String()) }
--- a/internal/fleet/memberagent/rejection_test.go
+++ b/internal/fleet/memberagent/rejection_test.go
@@ -9,6 +9,7 @@
 	"croftlock/internal/fleet/membership"
 )
 
+// TestRejectionFieldsNameTheReason checks the log fields of each error that rejects a datagram.
 func TestRejectionFieldsNameTheReason(t *testing.T) {
 	for _, c := range []struct {
 		err  error
--- a/internal/fleet/memberagent/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -13,24 +13,28 @@
 // for the start time of the incarnation, peer for the slot.
 type Report struct {
 	Name        string         `json:"name"`
-	Version     uint64         `json:"version"`
-	Digest      string         `json:"digest"` // equal for equal views
-	Quorum      bool           `json:"quorum"`
-	Incarnation uint64         `json:"life"` // start time of the process, in Unix milliseconds
+	Version     uint64         `json:"version"` // rises with each change of the view
+	Digest      string         `json:"digest"`  // equal for equal views
+	Quorum      bool           `json:"quorum"`  // see membership.Core.Quorum
+	Incarnation uint64         `json:"life"`    // start time of the process, in Unix milliseconds
 	Members     []ReportMember `json:"members"`
 	Counts      map[string]int `json:"counts"`
 }
 
 // ReportMember is a member in a Report.
 type ReportMember struct {
-	ID           string   `json:"id"`
-	Name         string   `json:"name"` // empty if not known yet
-	Slot         int      `json:"peer"`
-	State        string   `json:"state"`
-	Incarnation  uint64   `json:"life"`            // start time of its process, in Unix milliseconds
-	HeardMS      int64    `json:"heard_ms"`        // milliseconds since this process last heard it; -1 if never
-	HeardByAnyMS int64    `json:"heard_by_any_ms"` // milliseconds since any process last heard it; -1 if never
-	Unheard      []string `json:"does_not_hear"`
+	ID          string `json:"id"`
+	Name        string `json:"name"` // empty if not known yet
+	Slot        int    `json:"peer"` // -1 if not known
+	State       string `json:"state"`
+	Incarnation uint64 `json:"life"` // start time of the member's process, in Unix milliseconds
+	// HeardMS is the time since the reporting process last heard the member, in milliseconds; -1 if never.
+	HeardMS int64 `json:"heard_ms"`
+	// HeardByAnyMS is the time since any process last heard the member, in milliseconds; -1 if never.
+	HeardByAnyMS int64 `json:"heard_by_any_ms"`
+	// Unheard lists the members that the member reports as unheard, by name, or by ID if the name is not
+	// known.
+	Unheard []string `json:"does_not_hear"`
 }
 
 // Print writes the report as a table.
@@ -74,6 +78,7 @@
 	return names
 }
 
+// reportMember returns the entry of a member in a Report. names are the known names by ID.
 func reportMember(m membership.Member, now membership.Time, names map[uint32]string) ReportMember {
 	row := ReportMember{
 		ID:           formatID(m.ID),
--- a/internal/fleet/memberagent/socket.go
+++ b/internal/fleet/memberagent/socket.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// reportTimeout is how long the event loop may take to make a report, and the client to read it.
+	// reportTimeout is how long the event loop may take to make a report, the client to read it, and
+	// RequestReport to connect.
 	reportTimeout = 2 * time.Second
 	// requestTimeout is how long RequestReport waits for the complete report.
 	requestTimeout = 5 * time.Second
@@ -45,6 +46,8 @@
 	return nil
 }
 
+// sendReport sends a report on a connection and closes it. It sends none if the event loop makes none within
+// reportTimeout.
 func (a *Agent) sendReport(c net.Conn) {
 	defer c.Close()
 	reports := make(chan Report, 1)
@@ -75,7 +78,7 @@
 	return l, nil
 }
 
-// RequestReport returns the report of the running proxy that listens on socket.
+// RequestReport returns the report of the running proxy that listens on the Unix socket at path socket.
 func RequestReport(socket string) (Report, error) {
 	var r Report
 	c, err := net.DialTimeout("unix", filepath.Clean(socket), reportTimeout)
--- a/internal/fleet/memberagent/socket_test.go
+++ b/internal/fleet/memberagent/socket_test.go
@@ -25,7 +25,7 @@
 	defer l.Close()
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("socket has mode %v (error %v), want permissions -rw-------", info.Mode(), err)
+		t.Errorf("socket %s has mode %v (error %v), want permissions -rw-------", path, info.Mode(), err)
 	}
 	var inUse *SocketInUseError
 	if _, err := ListenUnix(path); !errors.As(err, &inUse) || inUse.Path != path {
--- a/internal/fleet/memberagent/transport.go
+++ b/internal/fleet/memberagent/transport.go
@@ -10,15 +10,15 @@
 // transport is the link to the other members and the seal over its datagrams.
 type transport struct {
 	link            *peers.Link
-	shared          bool             // whether the link is the platform's, which the decision module uses, too
+	shared          bool             // whether the link is the platform's, which the decision module also uses
 	learnsAddresses bool             // whether addresses are learnt, as members come and go
 	seal            *membership.Seal // nil if datagrams are not sealed
 	sealFailures    int              // number of datagrams that the seal rejected
 	rejected        int              // number of datagrams that membership rejected
 }
 
-// sealDatagram returns a datagram with its seal, or unchanged if datagrams are not sealed. The result is valid
-// until the next call.
+// sealDatagram returns a datagram with its seal, or unchanged if datagrams are not sealed. The result is
+// valid until the next call.
 func (t *transport) sealDatagram(data []byte) []byte {
 	if t.seal == nil {
 		return data
@@ -26,8 +26,9 @@
 	return t.seal.Seal(data)
 }
 
-// unseal checks a datagram and removes its seal. It returns false if the seal is not valid. It counts all
-// failures but logs only the first one, as any sender can cause any number of them.
+// unseal checks a datagram and removes its seal, if datagrams are sealed. It returns false if the seal is not
+// valid. It counts all failures but logs only the first one, as any sender can cause any number of them. from
+// is the log field for the sender.
 func (t *transport) unseal(from slog.Attr, data []byte) ([]byte, bool) {
 	if t.seal == nil {
 		return data, true
@@ -42,7 +43,8 @@
 	return nil, false
 }
 
-// recordRejection counts the datagrams that membership rejects, and logs the first one.
+// recordRejection counts the datagrams that membership rejects, and logs the first one. from is the log field
+// for the sender.
 func (t *transport) recordRejection(from slog.Attr, err error) {
 	if t.rejected++; t.rejected == 1 {
 		logRejected(from, err)
--- a/internal/fleet/memberagent/view.go
+++ b/internal/fleet/memberagent/view.go
@@ -6,12 +6,13 @@
 type ViewMember struct {
 	Name        string // empty if not known yet
 	ID          uint32
-	State       string
-	Incarnation uint64
+	State       string   // see membership.State.String
+	Incarnation uint64   // see membership.Incarnation
 	Unheard     []uint32 // IDs of the members that it reports as unheard
 }
 
-// View returns the other members as this process sees them, sorted by ID.
+// View returns the other members as this process sees them, sorted by ID. ViewMember.Unheard is valid only
+// during the current call on the event loop.
 func (a *Agent) View() []ViewMember {
 	var out []ViewMember
 	for _, m := range a.core.View() {
--- a/internal/fleet/membership/address.go
+++ b/internal/fleet/membership/address.go
@@ -13,9 +13,10 @@
 type addressBook struct {
 	memberAt  []uint32         // member ID by slot; zero if no member is known there
 	addresses []netip.AddrPort // address by slot; empty if the configuration fixes the slots
-	seeds     int              // number of seeds
+	seeds     int              // number of seeds, which have the first slots
 }
 
+// newAddressBook returns an addressBook with the configured slots or seeds.
 func newAddressBook(cfg Config) addressBook {
 	return addressBook{memberAt: make([]uint32, cfg.Slots), addresses: slices.Clone(cfg.Seeds), seeds: len(cfg.Seeds)}
 }
@@ -31,7 +32,7 @@
 	b.memberAt[slot] = m.ID
 }
 
-// release frees the slot of member m if m has moved to another slot.
+// release frees the slot of member m if m has moved to the slot movedTo.
 func (b *addressBook) release(m *member, movedTo int) {
 	if m.Slot >= 0 && m.Slot != movedTo && b.memberAt[m.Slot] == m.ID {
 		b.memberAt[m.Slot] = 0
@@ -45,8 +46,8 @@
 		return i, false
 	}
 	for i, id := range b.memberAt {
-		// The slot of an ended member is reused, but not a seed's: at the seeds the two sides of a
-		// partitioned fleet find each other again.
+		// The slot of an ended member is reused, but not a seed's: the two sides of a partitioned fleet
+		// find each other again at the seeds.
 		if m := table.get(id); i >= b.seeds && m != nil && m.State.ended() {
 			m.Slot = -1
 			b.addresses[i], b.memberAt[i] = addr, 0
--- a/internal/fleet/membership/antientropy.go
+++ b/internal/fleet/membership/antientropy.go
@@ -13,9 +13,13 @@
 // antiEntropy repairs differences between views that gossip has missed: it compares digests and
 // determines when to request a complete view.
 type antiEntropy struct {
-	differentSince Time // since when received digests differ from this process's; zero if the last one was equal
-	lastRequest    Time
-	nextEntry      int // index of the entry with which the next page of this process's view starts
+	// differentSince is the time since which received digests differ from this process's digest. It is zero
+	// if the last received one was equal.
+	differentSince Time
+	lastRequest    Time // when a complete view was last requested
+	// nextEntry is the entry of this process's view with which the next page starts, modulo the number of
+	// entries.
+	nextEntry int
 }
 
 // recordComparison records whether a received digest equals this process's digest.
@@ -36,7 +40,8 @@
 	return true
 }
 
-// requestView requests the complete view of a randomly chosen alive member. It may choose none.
+// requestView requests the complete view of a randomly chosen alive member. It may choose none; the next
+// attempt follows after viewRequestInterval.
 func (c *Core) requestView() {
 	for slot, id := range c.addresses.memberAt {
 		if m := c.members.get(id); id != 0 && m.State == Alive && c.rng.IntN(2) == 0 {
@@ -48,7 +53,8 @@
 	}
 }
 
-// sendView answers a request with the next pages of this process's view, which include its own entry.
+// sendView answers a request with the next pages of this process's view, which include its own entry, until
+// one page holds the whole view or viewPages are sent.
 func (c *Core) sendView(slot int) {
 	for range viewPages {
 		d := c.newDatagram()
@@ -60,7 +66,8 @@
 	}
 }
 
-// writePage fills datagram d with the next entries of the view and reports whether all entries fitted.
+// writePage fills datagram d with the next entries of the view and reports whether all entries of the view
+// fitted.
 func (c *Core) writePage(d *datagram) (complete bool) {
 	entries := len(c.members.ids) + 1
 	for range entries {
--- a/internal/fleet/membership/components_test.go
+++ b/internal/fleet/membership/components_test.go
@@ -8,11 +8,13 @@
 	"testing"
 )
 
+// TestMemberTableCountsAndDigest checks the counts and the digest of the view after changes of a member's
+// state, incarnation and answers.
 func TestMemberTableCountsAndDigest(t *testing.T) {
 	table := newMemberTable()
 	a, b := table.add(20, 0), table.add(10, 0)
 	if !slices.Equal(table.ids, []uint32{10, 20}) {
-		t.Errorf("ids are %v, want them sorted", table.ids)
+		t.Errorf("table.ids = %v after adding 20 and 10, want [10 20]", table.ids)
 	}
 	table.setIncarnation(a, NewIncarnation(1))
 	table.setState(a, Alive, 1)
@@ -29,7 +31,7 @@
 		}
 	}
 	if table.setIncarnation(a, NewIncarnation(1)+1) || !table.setIncarnation(a, NewIncarnation(2)) {
-		t.Error("setIncarnation reports a restart for a higher counter, or none for a later start")
+		t.Error("setIncarnation reports a restart for a higher counter of the same start, or none for a later start")
 	}
 	table.setUnanswered(b, 5)
 	table.setUnanswered(a, 6)
@@ -39,6 +41,7 @@
 	}
 }
 
+// TestProberRounds checks that each round probes each slot once except the process's own slot.
 func TestProberRounds(t *testing.T) {
 	p := newProber(rand.New(rand.NewPCG(1, 2)), 4, 1)
 	p.addSlot(4)
@@ -58,17 +61,19 @@
 	}
 }
 
+// TestProberAcks checks which acks complete a probe of this process and a probe on behalf of another member.
 func TestProberAcks(t *testing.T) {
 	p := newProber(rand.New(rand.NewPCG(1, 2)), 2, 0)
 	own, requestedProbe := p.begin(7, 1, nil), p.begin(7, 1, &probeRequester{slot: 1, sequence: 9})
 	if p.completeProbe(own, 8) != nil || p.completeIndirectProbe(requestedProbe, 7) {
-		t.Error("an ack by another member, or an indirect ack of a relayed probe, completes a probe")
+		t.Error("an ack by member 8 completes a probe of member 7, or an indirect ack completes a probe on behalf of another member")
 	}
 	if !p.completeIndirectProbe(own, 7) || p.completeProbe(requestedProbe, 7) == nil || len(p.sequences()) > 0 {
-		t.Errorf("acked probes do not complete, or are still outstanding: %v", p.sequences())
+		t.Errorf("an ack by member 7 does not complete a probe of it, or probes %v are still outstanding", p.sequences())
 	}
 }
 
+// TestLocalHealthBounds checks the shortest and the longest timeout that localHealth allows.
 func TestLocalHealthBounds(t *testing.T) {
 	var h localHealth
 	h.improve()
@@ -83,6 +88,8 @@
 	}
 }
 
+// TestGossipIsSentOftenEnough checks that an update is sent as often as the fleet's size requires, even
+// if each datagram has room for only one update and another update is added later.
 func TestGossipIsSentOftenEnough(t *testing.T) {
 	var q gossipQueue
 	q.spread(1, 6) // 3*log2(8) = 9 sends
@@ -93,7 +100,7 @@
 			q.spread(2, 6)
 		}
 		first := true
-		q.drain(func(id uint32) bool { // a datagram has room for one update
+		q.drain(func(id uint32) bool { // each datagram has room for one update
 			if !first {
 				return false
 			}
@@ -107,6 +114,8 @@
 	}
 }
 
+// TestAntiEntropyRequests checks that a complete view is requested after views have differed for more than
+// viewRequestDelay, and not after they are equal again.
 func TestAntiEntropyRequests(t *testing.T) {
 	var a antiEntropy
 	var due []string
@@ -121,6 +130,8 @@
 	}
 }
 
+// TestAddressBookReusesSlots checks that a new address reuses the slot of an ended member but not that of a
+// seed, and that no slot is added beyond maxSlots.
 func TestAddressBookReusesSlots(t *testing.T) {
 	addr := func(port uint16) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
@@ -133,16 +144,18 @@
 	table.setState(seed, Left, 1)
 	table.setState(other, Left, 1)
 	if reused, again := b.slotFor(addr(3), &table); !added || again || reused != slot || other.Slot != -1 {
-		t.Errorf("slot %d (added %t), member's slot %d; want the ended member's slot %d (not added), -1", reused, again, other.Slot, slot)
+		t.Errorf("slotFor of a new address = %d, %t, the ended member has slot %d; want %d, false, -1", reused, again, other.Slot, slot)
 	}
 	for port := uint16(4); len(b.addresses) < maxSlots; port++ {
 		b.slotFor(addr(port), &table)
 	}
 	if slot, _ := b.slotFor(addr(65000), &table); slot != -1 {
-		t.Errorf("with %d addresses slotFor returns slot %d for a new one, want -1", maxSlots, slot)
+		t.Errorf("slotFor of a new address = %d with %d slots in use, want -1", slot, maxSlots)
 	}
 }
 
+// TestIsolationDetectsPauses checks that a pause is detected by either clock, at a tick or at a datagram
+// before the first tick after it, and only once.
 func TestIsolationDetectsPauses(t *testing.T) {
 	const threshold = 800 * ms
 	for _, c := range []struct {
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -42,13 +42,15 @@
 	ProbeInterval Time // time between two probes; zero means 200 ms
 	// ProbeTimeout is how long to wait for an answer before requesting indirect probes. Zero means 150 ms.
 	ProbeTimeout Time
-	// UnreachableAfter is how long no process must have heard a suspect before it is unreachable. The
-	// local health multiplier lengthens it, and a suspicion lasts at least minSuspicion. Zero means 2.3 s.
+	// UnreachableAfter is the time after which a suspect that no process has heard becomes unreachable.
+	// The local health multiplier lengthens it, and a suspicion lasts at least minSuspicion. Zero means
+	// 2.3 s.
 	UnreachableAfter Time
 	GoneAfter        Time   // how long a member must be unreachable before it is gone; zero means 10 s
 	Seed             uint64 // seed of the random numbers
 
-	// IgnoreIncarnation and IgnorePause plant faults, to prove that the simulation's checks find them.
+	// IgnoreIncarnation and IgnorePause inject faults, to show that the checks of the simulation detect
+	// them: this process accepts older incarnations, or does not detect its own pauses.
 	IgnoreIncarnation, IgnorePause bool
 }
 
@@ -74,6 +76,7 @@
 	return cfg, nil
 }
 
+// setDefault sets *value to fallback if it is not positive.
 func setDefault(value *Time, fallback Time) {
 	if *value <= 0 {
 		*value = fallback
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -28,8 +28,8 @@
 	selfID      uint32 // hash of this process's name
 	fleet       uint32 // hash of the fleet's name
 	incarnation Incarnation
-	now         Time
-	hasLeft     bool
+	now         Time // latest time that the caller has passed
+	hasLeft     bool // whether Leave was called
 
 	members     memberTable
 	addresses   addressBook
@@ -64,7 +64,8 @@
 }
 
 // Tick sends probes and updates the states of members. The caller must call it about every 50 ms; wall
-// is the wall clock, in Unix nanoseconds. A longer gap between two calls shows that the process was paused.
+// is the wall clock, in Unix nanoseconds. A gap of more than minPauseIntervals probe intervals between two
+// calls, by either clock, shows that the process was paused.
 func (c *Core) Tick(now, wall Time) {
 	c.now = now
 	if !c.isolation.started {
@@ -88,8 +89,8 @@
 // pauseThreshold returns the gap between two ticks above which this process was paused.
 func (c *Core) pauseThreshold() Time { return minPauseIntervals * c.cfg.ProbeInterval }
 
-// resumeAfterPause discounts gap, the time for which this process was paused: that it heard nothing
-// during a pause proves nothing about the others.
+// resumeAfterPause discounts gap, the time since the last tick, in which this process was paused: that it
+// heard nothing during a pause proves nothing about the others.
 func (c *Core) resumeAfterPause(gap Time) {
 	c.counts.Pauses++
 	c.isolation.noSuspicionBefore = c.now + noSuspicionAfterPause
@@ -102,14 +103,15 @@
 			c.markAlive(m, reasonOwnPause)
 		}
 	}
-	// A newer incarnation refutes in advance what others may have concluded during the pause.
+	// A newer incarnation refutes what others may have concluded during the pause, even before this
+	// process hears of it.
 	c.incarnation++
 	c.spread(c.selfID)
 	c.prober.nextProbe = c.now
 }
 
-// Leave announces the graceful shutdown of this process to some members, whose gossip spreads it.
-// Afterwards this process sends no more probes.
+// Leave announces the graceful shutdown of this process to some alive members, whose gossip spreads it.
+// Afterwards Tick probes no more slots, and SendPayload drops its data.
 func (c *Core) Leave(now Time) {
 	const maxAnnouncements = 4 * maxIndirectProbes
 	c.now = max(c.now, now)
@@ -124,9 +126,9 @@
 	}
 }
 
-// SendPayload sends data of another package, identified by channel, to the member with ID to. data has
-// at most MaxPayload bytes. It is sent once and may be lost. SendPayload drops it if it is too long, the
-// member's slot is not known, or this process has left.
+// SendPayload sends data of another package, identified by channel, to the member with the ID to. data
+// may have at most MaxPayload bytes. It is sent once and may be lost. SendPayload drops it if it is too
+// long, the member's slot is not known, or this process has left.
 func (c *Core) SendPayload(now Time, to uint32, channel byte, data []byte) {
 	c.now = max(c.now, now)
 	if slot := c.SlotOf(to); slot >= 0 && !c.hasLeft {
@@ -136,8 +138,8 @@
 	}
 }
 
-// Quorum reports whether this process hears other members and sees more than half of the fleet alive or
-// suspect, itself included. A fleet of one always has a quorum.
+// Quorum reports whether this process sees more than half of the fleet alive or suspect, itself included,
+// and has received a datagram within isolatedAfter. A fleet of one always has a quorum.
 func (c *Core) Quorum() bool {
 	return 2*(1+c.members.alive) > c.cfg.FleetSize && (c.cfg.FleetSize == 1 || !c.isolation.hearsNothing(c.now))
 }
@@ -148,7 +150,7 @@
 // Address returns the address of a slot. It may be called only if Config.Seeds is set.
 func (c *Core) Address(slot int) netip.AddrPort { return c.addresses.addresses[slot] }
 
-// SlotOf returns the slot of the member with an ID, or -1 if it is not known.
+// SlotOf returns the slot of the member with the given ID, or -1 if the slot is not known.
 func (c *Core) SlotOf(id uint32) int {
 	if m := c.members.get(id); m != nil {
 		return m.Slot
@@ -156,13 +158,15 @@
 	return -1
 }
 
-// View returns the other members as this process sees them, sorted by ID.
+// View returns the other members as this process sees them, sorted by ID. Member.Unheard is valid only until
+// the next call of Receive or ReceiveFrom.
 func (c *Core) View() []Member { return c.members.members() }
 
 // Version returns a number that rises with each change of the view.
 func (c *Core) Version() uint64 { return c.members.version }
 
-// Digest returns a digest of the view and this process itself. Processes with equal views have equal digests.
+// Digest returns a digest of the view, to which it adds this process itself. Processes with equal views have
+// equal digests.
 func (c *Core) Digest() uint32 {
 	self := member{Member: Member{ID: c.selfID, State: Alive, Incarnation: c.incarnation}}
 	return c.members.digest ^ self.digest()
--- a/internal/fleet/membership/datagram_test.go
+++ b/internal/fleet/membership/datagram_test.go
@@ -25,7 +25,7 @@
 	return c, s
 }
 
-// fullDatagram returns a full datagram of fleet f with parts of most kinds.
+// fullDatagram returns a datagram of fleet f with parts of most kinds, which updates fill up.
 func fullDatagram() []byte {
 	d := &datagram{}
 	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), 99}, MaxDatagramBytes)
@@ -101,10 +101,11 @@
 		t.Errorf("second process at slot 2 under a live member's name: error %v, member at slot %d, want an error, slot 1", err, c.View()[0].Slot)
 	}
 	if err := c.Receive(3, 9, fullDatagram()); err == nil {
-		t.Error("Receive accepted a datagram from slot 9 of 3 slots")
+		t.Error("Receive accepted a datagram from slot 9 of 3 slots, want an error")
 	}
 }
 
+// TestReceiveDoesNotAllocate checks that a datagram of a known member causes no allocations.
 func TestReceiveDoesNotAllocate(t *testing.T) {
 	c, _ := newTestCore(t, "me")
 	d := &datagram{}
@@ -118,6 +119,7 @@
 	}
 }
 
+// BenchmarkReceive measures Receive of a datagram full of updates.
 func BenchmarkReceive(b *testing.B) {
 	c, _ := newTestCore(b, "me")
 	d := &datagram{}
@@ -159,10 +161,10 @@
 		bad := append([]byte(nil), first...)
 		bad[i] ^= 1
 		if _, err := seal(oldKey).Open(bad); err == nil {
-			t.Fatalf("Open accepted a datagram with byte %d altered", i)
+			t.Fatalf("Open accepted datagram %x with byte %d altered", first, i)
 		}
 		if _, err := seal(oldKey).Open(first[:i]); err == nil {
-			t.Fatalf("Open accepted a datagram truncated to %d bytes", i)
+			t.Fatalf("Open accepted datagram %x truncated to %d bytes", first, i)
 		}
 	}
 	// Datagrams that arrive out of order within the window are accepted once each. A datagram below the
@@ -174,7 +176,7 @@
 	}
 	for _, i := range []int{5, 3, 4, 60, 59} {
 		if _, err := to.Open(sent[i]); err != nil {
-			t.Errorf("datagram %d, out of order within the window: %v", i, err)
+			t.Errorf("datagram %d, out of order within the window: error %v, want none", i, err)
 		}
 	}
 	to.Open(sent[99])
--- a/internal/fleet/membership/decode.go
+++ b/internal/fleet/membership/decode.go
@@ -89,16 +89,17 @@
 	return 0
 }
 
-// indirectProbe is a request for an indirect probe, or the result of one.
+// indirectProbe is the content of a partPingRequest or partIndirectAck: the sequence number of the
+// requester's probe, and the target's ID.
 type indirectProbe struct{ sequence, target uint32 }
 
 // memberAddress is the address of a member.
 type memberAddress struct {
-	member  uint32
+	member  uint32 // member ID
 	address netip.AddrPort
 }
 
-// payload is the data of another package.
+// payload is data of another package on one of its channels.
 type payload struct {
 	channel byte
 	data    []byte
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -7,7 +7,8 @@
 // suspect, and as many for their refutation.
 const suspicionStep = 250 * ms
 
-// minSuspicion returns the minimum time for which a member stays suspect in a view of members entries.
+// minSuspicion returns the minimum time for which a member stays suspect. members is the number of other
+// members in the view.
 func minSuspicion(members int) Time { return suspicionStep * Time(1+bits.Len(uint(members))) }
 
 // probeNext probes the next slot in turn. It also probes slots at which no member is known, so that
@@ -48,8 +49,9 @@
 	c.send(m.Slot, d)
 }
 
-// expireProbes handles the outstanding probes that have timed out: it first requests indirect probes of
-// the target, and then suspects it.
+// expireProbes handles the outstanding probes that have timed out. For a probe of this process, it first
+// requests indirect probes of the target, and after twice the timeout suspects the target. It drops a probe
+// on behalf of another member after requestedProbeTimeout.
 func (c *Core) expireProbes() {
 	for _, sequence := range c.prober.sequences() {
 		p := c.prober.outstanding[sequence]
@@ -69,7 +71,7 @@
 	}
 }
 
-// handleProbeTimeout requests indirect probes of a member that did not answer this process.
+// handleProbeTimeout records that a member did not answer this process, and requests indirect probes of it.
 func (c *Core) handleProbeTimeout(p *probe, sequence uint32) {
 	p.indirectRequested = true
 	if m := c.members.get(p.target); m != nil && m.unansweredSince == 0 {
@@ -95,7 +97,8 @@
 	}
 }
 
-// handleIndirectProbeTimeout suspects a member that answered no process, unless one has heard it since the probe.
+// handleIndirectProbeTimeout suspects a member that answered neither this process nor those asked to probe
+// it, unless a process is known to have heard it within Config.ProbeTimeout.
 func (c *Core) handleIndirectProbeTimeout(p *probe) {
 	m := c.members.get(p.target)
 	if m == nil {
@@ -111,7 +114,8 @@
 	}
 }
 
-// reviewSuspectOrUnreachable moves suspect and unreachable members to their next state when it is due.
+// reviewSuspectOrUnreachable records whether this process lacks a majority, and moves suspect and unreachable
+// members to their next state when it is due.
 func (c *Core) reviewSuspectOrUnreachable() {
 	if !c.Quorum() {
 		c.isolation.lastMinority = c.now
@@ -129,6 +133,8 @@
 	}
 }
 
+// reviewSuspect marks a suspect as alive if a process has just heard it, and as unreachable if it was given
+// enough time to refute the suspicion.
 func (c *Core) reviewSuspect(m *member) {
 	unheard := c.now - m.HeardByAny
 	switch {
@@ -173,7 +179,8 @@
 
 func (c *Core) markLeft(m *member) { c.setState(m, Left, reasonAnnouncedShutdown) }
 
-// refute gossips an incarnation newer than accused, to refute what others report about this process.
+// refute raises this process's incarnation above the reported one and gossips it, to refute what others
+// report about this process.
 func (c *Core) refute(reported Incarnation) {
 	c.incarnation = reported + 1
 	c.counts.Refutations++
@@ -190,7 +197,8 @@
 	c.effects.Changed(Change{m.Name, m.ID, from, to, m.Incarnation, c.members.version, reason})
 }
 
-// raiseIncarnation records a newer incarnation of a member and reports the change if it has restarted.
+// raiseIncarnation records a newer incarnation of a member and reports the change if the member has
+// restarted. It ignores an incarnation that is not newer.
 func (c *Core) raiseIncarnation(m *member, to Incarnation) {
 	if to == m.Incarnation || to < m.Incarnation && !c.cfg.IgnoreIncarnation {
 		return
--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -1,9 +1,9 @@
 // Package membership decides which processes of a fleet are alive. All processes reach the same result
 // despite pauses, lost datagrams and one-way cuts. It is a SWIM-like failure detector: each process
-// probes the others in turn, asks others to probe indirectly, and spreads suspicions and their
-// refutations by gossip on the datagrams that it sends anyway. Two rules differ from SWIM: a member
-// counts as heard once any process has heard it, and only a process that sees a majority of the fleet may
-// decide that a member is gone.
+// probes the others in turn, asks some of them to probe a member that did not answer, and spreads
+// suspicions and their refutations by gossip on the datagrams that it sends anyway. Two rules differ
+// from SWIM: a member counts as heard once any process has heard it, and only a process that sees a
+// majority of the fleet may decide that a member is gone.
 //
 // The package does no I/O and reads no clock: the caller passes in time, datagrams and the random seed,
 // and receives the effects through Effects, so that a run can be replayed. Its components, each with
@@ -11,7 +11,7 @@
 //
 //   - memberTable: the view, its counts, digest and version
 //   - prober: the order of probes, the outstanding probes, and the local health multiplier
-//   - gossipQueue: the updates that still have to spread
+//   - gossipQueue: the members whose updates still have to be gossiped
 //   - antiEntropy: when to request a complete view, and which page of its own view a process sends next
 //   - addressBook: which member is at which slot, and the learnt addresses
 //   - isolation: whether this process itself was paused or is cut off
--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -21,20 +21,21 @@
 type partKind byte
 
 const (
-	partPing        partKind = 1  // sequence: a probe
-	partAck         partKind = 2  // sequence: the answer to a probe
-	partPingRequest partKind = 3  // sequence, target: probe the target on the sender's behalf
-	partIndirectAck partKind = 4  // sequence, target: the target has answered
+	partPing        partKind = 1  // a probe, with its sequence number
+	partAck         partKind = 2  // the answer to a probe, with the same sequence number
+	partPingRequest partKind = 3  // request to probe a target on the sender's behalf
+	partIndirectAck partKind = 4  // report that the target of a partPingRequest has answered
 	partUpdate      partKind = 5  // what the sender knows about one member
 	partUnheard     partKind = 6  // the members that the sender does not hear
 	partViewRequest partKind = 7  // request for the complete view
 	partName        partKind = 8  // the sender's name, whose hash is its ID
-	partRejected    partKind = 9  // why the receiver is not admitted
+	partRejected    partKind = 9  // the reason for which the receiver is not admitted
 	partAddress     partKind = 10 // a member's address, if addresses are learnt
 	partPayload     partKind = 11 // data of another package for its counterpart at the receiver
 )
 
-// Lengths in bytes, including the kind of a part. A header length excludes the data that follow the header.
+// Lengths of the datagram's header, with the version, and of the parts, with the kind, in bytes. The
+// header of a part precedes data of variable length, which its length excludes.
 const (
 	headerLength        = 1 + 4 + 4 + 8 + 4
 	sequenceLength      = 1 + 4
@@ -51,8 +52,8 @@
 // maxUnheardListed is the maximum number of members that a process lists as unheard in a datagram.
 const maxUnheardListed = 8
 
-// MaxPayload returns how many bytes of another package's data fit a datagram to which the caller adds
-// overhead bytes.
+// MaxPayload returns the maximum number of bytes of another package's data in a datagram to which the caller
+// adds overhead bytes.
 func MaxPayload(overhead int) int {
 	return MaxDatagramBytes - overhead - headerLength - payloadHeaderLength
 }
@@ -104,11 +105,11 @@
 	Age uint16
 }
 
-// header follows the version at the start of each datagram.
+// header is the content of a datagram's header, which follows the version.
 type header struct {
-	fleet, sender uint32
-	incarnation   Incarnation // the sender's
-	digest        uint32      // of the sender's view
+	fleet, sender uint32      // hash of the fleet's name, ID of the sender
+	incarnation   Incarnation // incarnation of the sender
+	digest        uint32      // digest of the sender's view
 }
 
 // datagram is a datagram under construction. begin must be called first, to write the header.
@@ -132,9 +133,11 @@
 // bytes returns the datagram as written so far.
 func (d *datagram) bytes() []byte { return d.buffer[:d.length] }
 
+// fits reports whether n more bytes fit the datagram.
 func (d *datagram) fits(n int) bool { return d.length+n <= d.limit }
 
-// appendPart appends a part's kind and returns the n bytes of the part, its kind included.
+// appendPart appends a part of n bytes, which must fit, and writes its kind, the first byte. It returns the
+// part.
 func (d *datagram) appendPart(kind partKind, n int) []byte {
 	p := d.buffer[d.length : d.length+n]
 	p[0] = byte(kind)
@@ -173,7 +176,8 @@
 	return true
 }
 
-// unheard writes the IDs of the members that the sender does not hear: as many as fit, at most 255.
+// unheard writes the IDs of the members that the sender does not hear: as many as fit, and at most 255,
+// as their number is a byte.
 func (d *datagram) unheard(ids []uint32) {
 	if !d.fits(unheardHeaderLength) {
 		return
@@ -186,6 +190,7 @@
 	}
 }
 
+// name writes the sender's name. It omits a name that does not fit.
 func (d *datagram) name(s string) {
 	if d.fits(nameHeaderLength + len(s)) {
 		p := d.appendPart(partName, nameHeaderLength+len(s))
@@ -194,7 +199,8 @@
 	}
 }
 
-// address writes the address of a member. It omits addresses other than IPv4, which the format cannot hold.
+// address writes the address of a member. It omits an address that does not fit, and addresses other than
+// IPv4, which the format cannot hold.
 func (d *datagram) address(id uint32, a netip.AddrPort) {
 	if !a.Addr().Is4() || !d.fits(addressLength) {
 		return
@@ -210,7 +216,7 @@
 	d.appendPart(partRejected, rejectedLength)[1] = byte(reason)
 }
 
-// payload writes data of another package and reports whether they fitted.
+// payload writes data of another package and reports whether the data fitted.
 func (d *datagram) payload(channel byte, data []byte) bool {
 	if !d.fits(payloadHeaderLength+len(data)) || len(data) > 255 {
 		return false
@@ -221,6 +227,7 @@
 	return true
 }
 
+// viewRequest writes a request for the complete view. It omits one that does not fit.
 func (d *datagram) viewRequest() {
 	if d.fits(viewRequestLength) {
 		d.appendPart(partViewRequest, viewRequestLength)
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -8,15 +8,15 @@
 
 // gossipItem is a member whose update still has to be sent sendsLeft times.
 type gossipItem struct {
-	member    uint32
+	member    uint32 // member ID
 	sendsLeft int
 }
 
 // gossipQueue holds the members whose updates go out with the next datagrams, the least often sent first.
 type gossipQueue struct{ items []gossipItem }
 
-// spread queues the update of a member as often as needed to reach a fleet of members processes:
-// epidemic broadcast needs O(log n) sends per process.
+// spread queues the update of the member id, to be sent as often as needed to reach all of the given
+// number of members: epidemic broadcast needs O(log n) sends per process.
 func (q *gossipQueue) spread(id uint32, members int) {
 	sends := 3 * int(math.Ceil(math.Log2(float64(members+2))))
 	for i := range q.items {
@@ -28,8 +28,8 @@
 	q.items = append(q.items, gossipItem{id, sends})
 }
 
-// drain calls write for each queued member and removes those whose update has been sent often enough.
-// write reports whether the update fitted the datagram.
+// drain calls write for each queued member and removes those whose update has been sent often enough. write
+// writes the update to a datagram and reports whether it fitted.
 func (q *gossipQueue) drain(write func(id uint32) bool) {
 	slices.SortStableFunc(q.items, func(a, b gossipItem) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
 	remaining := q.items[:0]
@@ -47,7 +47,7 @@
 // spread queues what this process knows about a member for the next datagrams.
 func (c *Core) spread(id uint32) { c.gossip.spread(id, len(c.members.ids)) }
 
-// updateFor returns what this process knows about a member now.
+// updateFor returns what this process knows about a known member, or about itself, now.
 func (c *Core) updateFor(id uint32) MemberUpdate {
 	if id == c.selfID {
 		s := Alive
@@ -90,6 +90,7 @@
 	c.transmit(slot, d)
 }
 
+// transmit sends a datagram as it is, and counts it.
 func (c *Core) transmit(slot int, d *datagram) {
 	c.counts.Sent++
 	c.counts.Bytes += d.length + c.cfg.Overhead
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -30,6 +30,7 @@
 	}
 }
 
+// handlePing answers a probe.
 func (c *Core) handlePing(from *member, slot int, sequence uint32) {
 	d := c.newDatagram()
 	d.ack(sequence)
@@ -39,6 +40,7 @@
 	c.send(slot, d)
 }
 
+// handleAck completes a probe. It reports the answer to the member that requested the probe, if there is one.
 func (c *Core) handleAck(from *member, sequence uint32) {
 	p := c.prober.completeProbe(sequence, from.ID)
 	if p == nil || p.requester == nil {
@@ -49,12 +51,15 @@
 	c.send(p.requester.slot, d)
 }
 
+// handlePingRequest probes the requested target on behalf of the member at slot, if the target's slot is
+// known.
 func (c *Core) handlePingRequest(slot int, request indirectProbe) {
 	if m := c.members.get(request.target); m != nil && m.Slot >= 0 {
 		c.sendProbe(m, &probeRequester{slot: slot, sequence: request.sequence})
 	}
 }
 
+// handleIndirectAck completes a probe of this process whose target has answered another member.
 func (c *Core) handleIndirectAck(ack indirectProbe) {
 	if !c.prober.completeIndirectProbe(ack.sequence, ack.target) {
 		return
@@ -76,6 +81,7 @@
 	}
 }
 
+// handleName records the name of a member if its hash is the member's ID.
 func (c *Core) handleName(from *member, name []byte) {
 	if from.Name != "" || len(name) > maxNameLength {
 		return
@@ -85,7 +91,8 @@
 	}
 }
 
-// handleContact records that this process has heard a member.
+// handleContact records that this process has heard a member, and marks the member as alive. If the
+// member has ended, only a newer incarnation has this effect.
 func (c *Core) handleContact(m *member, slot int, incarnation Incarnation) {
 	newer := incarnation > m.Incarnation
 	c.raiseIncarnation(m, incarnation)
@@ -103,7 +110,8 @@
 	c.markAlive(m, reasonHeard)
 }
 
-// handleIndirectContact records that another process heard a member at the given time.
+// handleIndirectContact records that another process heard a member at the given time. It marks the member as
+// alive if that is less than half of Config.UnreachableAfter ago and the member has not ended.
 func (c *Core) handleIndirectContact(m *member, at Time) {
 	m.HeardByAny = max(m.HeardByAny, at)
 	fresh := c.now-m.HeardByAny < c.cfg.UnreachableAfter/2
--- a/internal/fleet/membership/isolation.go
+++ b/internal/fleet/membership/isolation.go
@@ -1,25 +1,26 @@
 package membership
 
 const (
-	// isolatedAfter is how long no datagram may arrive before a process assumes that it is cut off itself.
+	// isolatedAfter is the time without any datagram after which a process assumes that it is itself cut off.
 	isolatedAfter = sec
 	// noSuspicionAfterPause is how long a process probes after a pause before it may suspect others.
 	noSuspicionAfterPause = 1500 * ms
-	// minPauseIntervals is the gap between two calls, in probe intervals, above which this process was paused.
+	// minPauseIntervals is the gap between two ticks, in probe intervals, above which a process assumes that
+	// it was paused.
 	minPauseIntervals = 4
 )
 
 // isolation tracks whether this process was paused, hears nothing, or lacks a majority. In these cases
 // the silence of the others proves nothing about them.
 type isolation struct {
-	started   bool
+	started   bool // whether the first tick has passed
 	lastTick  Time
-	lastWall  Time // the wall clock at lastTick
-	lastHeard Time // when any datagram last arrived
+	lastWall  Time // the wall clock at lastTick, in Unix nanoseconds
+	lastHeard Time // when the last accepted datagram arrived, or when the last pause ended if that is later
 	// lastMinority is when this process last saw no majority. GoneAfter counts from then at the earliest,
 	// so that a process does not mark members as gone as soon as it regains a majority.
 	lastMinority      Time
-	noSuspicionBefore Time
+	noSuspicionBefore Time // when this process may suspect others again after a pause
 }
 
 // start records the clocks at the first tick.
@@ -32,7 +33,7 @@
 // stand still.
 func (i *isolation) tick(now, wall, threshold Time) (gap Time, paused bool) {
 	gap = now - i.lastTick
-	jump := wall - i.lastWall - gap
+	jump := wall - i.lastWall - gap // by how much more than the monotonic clock the wall clock advanced
 	i.lastTick, i.lastWall = now, wall
 	return gap, gap > threshold || jump > threshold
 }
--- a/internal/fleet/membership/payload_test.go
+++ b/internal/fleet/membership/payload_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestSendPayload checks that data of another package arrive unchanged and with the sender's ID if they
-// fit a datagram, and that data that are too long or have an unknown receiver are dropped.
+// TestSendPayload checks that data of another package arrives unchanged and with the sender's ID if it fits
+// a datagram, and that data that is too long or has an unknown receiver is dropped.
 func TestSendPayload(t *testing.T) {
 	aEffects, bEffects := &pipe{}, &pipe{}
 	aCore, err := New(Config{Name: "a", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, aEffects)
@@ -48,7 +48,7 @@
 	aCore.SendPayload(2*sec, ID("nobody"), 7, []byte("lost"))
 	aCore.SendPayload(2*sec, ID("b"), 8, []byte("another's"))
 	if len(bEffects.received) != 3 || string(bEffects.received[0]) != "one" || !bytes.Equal(bEffects.received[1], longest) || len(bEffects.received[2]) != 0 || bEffects.sender != ID("a") {
-		t.Errorf("b received %d payloads %q, the last from %08x; want \"one\", %d times x and an empty one, from %08x",
+		t.Errorf("b received %d payloads %q, the last from %08x; want \"one\", %d times x and an empty payload, from %08x",
 			len(bEffects.received), bEffects.received, bEffects.sender, len(longest), ID("a"))
 	}
 	if aCore.Counts().Malformed+bCore.Counts().Malformed > 0 {
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// maxHealth is the maximum of localHealth: timeouts grow to five times their length.
+	// maxHealth is the maximum of localHealth, at which timeouts have five times their length.
 	maxHealth = 8
-	// maxIndirectProbes is the maximum number of members that are asked to probe a member that did not answer.
+	// maxIndirectProbes is the maximum number of members that are asked to probe a member that did not
+	// answer.
 	maxIndirectProbes = 3
 	// requestedProbeTimeout is how long a probe on behalf of another member may take.
 	requestedProbeTimeout = 2 * sec
-	// turnsPerEndedProbe is the average number of turns in which an ended member is probed once, as a
-	// restarted process may be at its address.
+	// turnsPerEndedProbe is the average number of an ended member's turns in which it is probed once. It is
+	// still probed, as a restarted process may be at its address.
 	turnsPerEndedProbe = 8
 )
 
@@ -30,7 +31,7 @@
 
 // probe is an outstanding probe.
 type probe struct {
-	target            uint32
+	target            uint32 // member ID
 	sentAt            Time
 	indirectRequested bool            // whether others were asked to probe the target
 	requester         *probeRequester // the member that requested the probe; nil if this process probes for itself
@@ -38,21 +39,22 @@
 
 // probeRequester identifies the request of another member on whose behalf a probe is sent.
 type probeRequester struct {
-	slot     int // of the member that requested it
-	sequence uint32
+	slot     int    // slot of the requesting member
+	sequence uint32 // sequence number in its request
 }
 
 // prober determines which slot to probe next and records the outstanding probes.
 type prober struct {
 	rng          *rand.Rand
-	slots        []int // in the order in which they are probed, shuffled for each round
-	position     int   // index in slots of the next slot
-	outstanding  map[uint32]*probe
+	slots        []int             // in the order in which they are probed, shuffled for each round
+	position     int               // index in slots of the next slot
+	outstanding  map[uint32]*probe // by sequence number
 	lastSequence uint32
-	nextProbe    Time
+	nextProbe    Time // when the next slot is due
 	health       localHealth
 }
 
+// newProber returns a prober of all slots except ownSlot, which is -1 if this process has none.
 func newProber(rng *rand.Rand, slots, ownSlot int) prober {
 	p := prober{rng: rng, outstanding: map[uint32]*probe{}}
 	for slot := range slots {
--- a/internal/fleet/membership/reason.go
+++ b/internal/fleet/membership/reason.go
@@ -4,41 +4,43 @@
 type ChangeReason uint8
 
 const (
-	// reasonHeard: a datagram of the member arrived.
+	// reasonHeard means that a datagram of the member arrived.
 	reasonHeard ChangeReason = iota
-	// reasonHeardByOther: another process has heard the member.
+	// reasonHeardByOther means that another process has heard the member.
 	reasonHeardByOther
-	// reasonHeardAgain: this process or another one has heard a suspect.
+	// reasonHeardAgain means that this process or another one has heard a suspect.
 	reasonHeardAgain
-	// reasonOwnPause: this process was paused, so that the member's silence proves nothing.
+	// reasonOwnPause means that this process was paused, so that the member's silence proves nothing.
 	reasonOwnPause
-	// reasonNewerIncarnation: the member had ended, and gossip reports a newer incarnation.
+	// reasonNewerIncarnation means that the member had ended, and gossip reports a newer incarnation.
 	reasonNewerIncarnation
-	// reasonRestarted: another process runs under the member's name.
+	// reasonRestarted means that another process than before runs under the member's name.
 	reasonRestarted
-	// reasonNoAnswer: the member answered neither this process nor those asked to probe it.
+	// reasonNoAnswer means that the member answered neither this process nor those asked to probe it.
 	reasonNoAnswer
-	// reasonNotHeardLately: no process is known to have heard the member lately, and this process never did.
+	// reasonNotHeardLately means that no process is known to have heard the member lately, and this
+	// process never did.
 	reasonNotHeardLately
-	// reasonSuspectedByOthers: gossip reports that the member does not answer.
+	// reasonSuspectedByOthers means that gossip reports that the member does not answer.
 	reasonSuspectedByOthers
-	// reasonHeardByNobody: no process has heard the member for Config.UnreachableAfter, lengthened by
-	// localHealth.
+	// reasonHeardByNobody means that no process has heard the member for Config.UnreachableAfter, lengthened
+	// by the local health multiplier.
 	reasonHeardByNobody
-	// reasonIsolated: this process hears no datagrams at all and may itself be cut off.
+	// reasonIsolated means that this process hears no datagrams at all and may itself be cut off.
 	reasonIsolated
-	// reasonUnreachableNeverHeard: gossip reports the member as unreachable, and this process never heard it.
+	// reasonUnreachableNeverHeard means that gossip reports the member as unreachable, and this process
+	// never heard it.
 	reasonUnreachableNeverHeard
-	// reasonUnreachableToOthers: gossip reports the member as unreachable, and no process is known to have
-	// heard it within Config.UnreachableAfter.
+	// reasonUnreachableToOthers means that gossip reports the member as unreachable, and no process is
+	// known to have heard it within Config.UnreachableAfter.
 	reasonUnreachableToOthers
-	// reasonUnreachableTooLong: the member was unreachable for Config.GoneAfter while this process saw a
-	// majority alive.
+	// reasonUnreachableTooLong means that the member was unreachable for Config.GoneAfter while this
+	// process saw a majority alive.
 	reasonUnreachableTooLong
-	// reasonGoneToOthers: gossip reports the member as gone, and no process is known to have heard it
-	// within Config.UnreachableAfter.
+	// reasonGoneToOthers means that gossip reports the member as gone, and no process is known to have
+	// heard it within Config.UnreachableAfter.
 	reasonGoneToOthers
-	// reasonAnnouncedShutdown: the member announced its graceful shutdown.
+	// reasonAnnouncedShutdown means that the member announced its graceful shutdown.
 	reasonAnnouncedShutdown
 )
 
@@ -61,7 +63,7 @@
 	reasonAnnouncedShutdown:     "announced_shutdown",
 }
 
-// String returns the reason as it appears in the log.
+// String returns the reason as it appears in the log, or "unknown".
 func (r ChangeReason) String() string {
 	if int(r) < len(changeReasonNames) {
 		return changeReasonNames[r]
--- a/internal/fleet/membership/reason_test.go
+++ b/internal/fleet/membership/reason_test.go
@@ -12,11 +12,11 @@
 	for r := range reasonAnnouncedShutdown + 1 {
 		s := r.String()
 		if earlier, taken := seen[s]; taken || !code.MatchString(s) || s == "unknown" {
-			t.Errorf("reason %d has code %q, want a lower-case code that no other reason has (last used by %d)", r, s, earlier)
+			t.Errorf("reason %d has code %q, want a lower-case code that no other reason has (reason %d has it: %t)", r, s, earlier, taken)
 		}
 		seen[s] = r
 	}
 	if s := (reasonAnnouncedShutdown + 1).String(); s != "unknown" {
-		t.Errorf("a reason out of range has code %q, want \"unknown\"", s)
+		t.Errorf("reason %d, which is out of range, has code %q, want \"unknown\"", reasonAnnouncedShutdown+1, s)
 	}
 }
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -13,7 +13,7 @@
 // the receiver or another member.
 type NameInUseError struct {
 	Name   string // the receiver's name; empty if the name is another member's
-	Sender uint32 // ID in the datagram
+	Sender uint32 // the sender's ID, which is the hash of the name
 }
 
 // Error implements error.
@@ -35,8 +35,8 @@
 	return fmt.Sprintf("membership: member %08x does not admit this process: %s", e.Member, e.Reason.description())
 }
 
-// ReceiveFrom is like Receive, but for a Core with Config.Seeds: it learns the address from after a
-// well-formed datagram of this fleet has come from it.
+// ReceiveFrom is like Receive, but for a Core with Config.Seeds. from is the sender's address, which
+// ReceiveFrom learns if the datagram is well-formed and of this fleet.
 func (c *Core) ReceiveFrom(now Time, from netip.AddrPort, data []byte) error {
 	if _, _, err := decodeHeader(data, c.fleet); err != nil {
 		return c.Receive(now, -1, data)
@@ -44,8 +44,8 @@
 	return c.Receive(now, c.learnSlot(from), data)
 }
 
-// learnSlot returns the slot of an address, or -1 if all slots are in use. From then on a new slot is
-// probed in turn.
+// learnSlot returns the slot of an address, or -1 if all slots are in use. If it adds a slot, that slot is
+// probed in turn from then on.
 func (c *Core) learnSlot(a netip.AddrPort) int {
 	slot, added := c.addresses.slotFor(a, &c.members)
 	if added {
@@ -54,8 +54,9 @@
 	return slot
 }
 
-// Receive handles a datagram from the address of slot. It returns ErrMalformed, ErrOtherVersion, ErrOtherFleet,
-// a *NameInUseError or a *RejectedError. Counts includes all of these except the last.
+// Receive handles a datagram from the address of slot. For a datagram that it rejects, it returns
+// ErrMalformed, ErrOtherVersion, ErrOtherFleet or a *NameInUseError, all of which Counts includes. If a
+// member rejects this process by the datagram, it returns a *RejectedError.
 func (c *Core) Receive(now Time, slot int, data []byte) error {
 	c.now = max(c.now, now)
 	if gap, paused := c.isolation.receive(now, c.pauseThreshold()); paused && !c.cfg.IgnorePause {
@@ -101,8 +102,9 @@
 	}
 }
 
-// handleOwnName handles a datagram under this process's name. It comes from this process itself if its
-// address is among the seeds, and otherwise from another process.
+// handleOwnName handles a datagram under this process's name. If addresses are learnt and the start times are
+// equal, this process has sent it to its own address, which is among the seeds and is probed no more.
+// Otherwise another process uses the name.
 func (c *Core) handleOwnName(slot int, h header) error {
 	if c.addresses.learnsAddresses() && h.incarnation.Start() == c.incarnation.Start() {
 		c.prober.removeSlot(slot)
@@ -113,7 +115,7 @@
 }
 
 // nameInUse reports whether a datagram under member m's name comes from another process while m is alive
-// at another slot.
+// at another slot, from which this process has heard it within Config.UnreachableAfter.
 func (c *Core) nameInUse(m *member, slot int, incarnation Incarnation, now Time) bool {
 	elsewhere := m.Slot >= 0 && m.Slot != slot && incarnation.Start() != m.Incarnation.Start()
 	return elsewhere && now-m.HeardHere < c.cfg.UnreachableAfter && m.State == Alive
@@ -155,8 +157,8 @@
 	return rejected
 }
 
-// reject notifies the process at slot why it is not admitted. The header must contain that process's
-// fleet, or it would reject the datagram in turn.
+// reject notifies the process at slot why it is not admitted, unless a rejection was sent within
+// rejectionInterval. fleet is the hash of that process's fleet: it would reject a datagram of another fleet.
 func (c *Core) reject(slot int, fleet uint32, reason Rejection) {
 	if !c.addresses.validSlot(slot) || c.now-c.lastRejection < rejectionInterval && c.lastRejection > 0 {
 		return
--- a/internal/fleet/membership/seal.go
+++ b/internal/fleet/membership/seal.go
@@ -13,7 +13,7 @@
 	sequenceBytes = 4
 	hashBytes     = 16 // HMAC-SHA-256, truncated to 128 bits
 	minKeyBytes   = 16
-	replayWindow  = 64 // number of sequence numbers that a window covers, including the highest
+	replayWindow  = 64 // number of sequence numbers that a window covers, up to the highest one received
 )
 
 // SealLength is the number of bytes that a seal adds to a datagram: a sequence number and a keyed hash.
@@ -30,9 +30,9 @@
 // one at all members, then make it the first one at all members, then remove the old one. A Seal is not
 // safe for concurrent use.
 type Seal struct {
-	hashes       []hash.Hash // by key
+	hashes       []hash.Hash // keyed hashes, in the order of the keys
 	lastSequence uint32
-	windows      map[uint32]*window // by sender
+	windows      map[uint32]*window // by the sender's ID
 	buffer       [MaxDatagramBytes]byte
 }
 
@@ -58,6 +58,7 @@
 	return s, nil
 }
 
+// keyedHash returns the truncated hash of data by h.
 func keyedHash(h hash.Hash, data []byte) []byte {
 	h.Reset()
 	h.Write(data)
@@ -92,7 +93,8 @@
 		s.windows[sender] = w
 	}
 	if start < w.start {
-		return data, nil // an earlier process, which Core answers with the newer incarnation
+		// The sender is an earlier process of this name, which Core answers with the newer incarnation.
+		return data, nil
 	}
 	if !w.accept(binary.BigEndian.Uint32(signed[len(data):])) {
 		return nil, ErrReplay
@@ -100,7 +102,7 @@
 	return data, nil
 }
 
-// authentic reports whether sum is the keyed hash of signed under any of the keys.
+// authentic reports whether sum is the keyed hash of signed under one of the keys.
 func (s *Seal) authentic(signed, sum []byte) bool {
 	valid := false
 	for _, h := range s.hashes {
--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats of a process, and heartbeatBytes the length of one.
+	// heartbeatInterval is the time between two heartbeats of a process, and heartbeatBytes the length
+	// of one.
 	heartbeatInterval = 500 * Ms
 	heartbeatBytes    = 40
 	// maxLinks is the maximum number of links that are simulated, as all links are alike.
@@ -42,7 +43,8 @@
 	return mean + phi8Deviations*deviation
 }
 
-// recordArrival records a heartbeat and reports whether the silence before it raised a false alarm.
+// recordArrival records a heartbeat that arrived at a time, in seconds, and reports whether the silence
+// before it raised a false alarm.
 func (a *arrivalHistory) recordArrival(at float64) (alarm bool) {
 	alarm = len(a.intervals) >= phiMinIntervals && at-a.last > a.suspectAfter()
 	if a.last > 0 {
@@ -56,7 +58,8 @@
 }
 
 // Heartbeats returns the cost of an alternative design: each process sends heartbeats to all others and
-// runs a phi-accrual failure detector (Hayashibara), with phi 8 over a window of 100 intervals.
+// runs a phi-accrual failure detector (Hayashibara), with phi 8 over a window of 100 intervals. The
+// parameters are those of Measure.
 func Heartbeats(n int, loss float64, duration Time, seed uint64) Cost {
 	r := rand.New(rand.NewPCG(seed, 13))
 	links := min(n*(n-1), maxLinks)
@@ -70,6 +73,7 @@
 			if r.Float64() < loss {
 				continue
 			}
+			// A heartbeat arrives after 2 to 4 ms, as a datagram in a Fleet does.
 			if link.recordArrival(now + 0.002 + 0.002*r.Float64()) {
 				alarms++
 			}
@@ -89,15 +93,15 @@
 const (
 	observersPerMember    = 10
 	observerProbeInterval = Sec
-	observerMissedProbes  = 3    // consecutive probes without an answer after which an observer alarms
-	maxObservedMembers    = 200  // maximum number of members that are simulated, as all are alike
-	simulatedDeaths       = 1000 // number of deaths from which the detection time is computed
-	observerVoteDuration  = 100 * Ms
+	observerMissedProbes  = 3        // consecutive probes without an answer after which an observer raises an alarm
+	maxObservedMembers    = 200      // maximum number of members that are simulated, as all are alike
+	simulatedDeaths       = 1000     // number of deaths from which the detection time is computed
+	observerVoteDuration  = 100 * Ms // duration of a round of votes from all members to all
 )
 
 // Observers returns the cost of an alternative design with fixed observers for each member and a vote of
 // all members on each change of the view (Rapid): ten observers probe a member once a second, and nine of
-// them must have missed three consecutive answers.
+// them must have missed three consecutive answers. The parameters are those of Measure.
 func Observers(n int, loss float64, duration Time, seed uint64) Cost {
 	r := rand.New(rand.NewPCG(seed, 17))
 	observers := min(observersPerMember, n-1)
@@ -108,7 +112,8 @@
 	for range members {
 		alarms += observerAlarms(r, lost, observers, int(duration/observerProbeInterval))
 	}
-	// A death is known once the last of the required observers alarms and all members have voted.
+	// A death is known once the slowest of the required observers has raised an alarm and all members have
+	// voted.
 	var delays []Time
 	for range simulatedDeaths {
 		at := make([]float64, observers)
@@ -122,12 +127,13 @@
 	return Cost{
 		Messages:      2 * float64(observers),
 		Bytes:         2 * float64(observers) * heartbeatBytes,
-		DetectionTime: delays[989],
+		DetectionTime: delays[989], // the 99th percentile of simulatedDeaths
 		FalseAlarms:   float64(alarms) / float64(members) * float64(n) * 3600e9 / float64(duration),
 	}
 }
 
-// observerAlarms counts the false alarms about one living member.
+// observerAlarms returns the number of false alarms about one living member in a number of rounds of probes.
+// lost is the probability that a probe or its answer is lost.
 func observerAlarms(r *rand.Rand, lost float64, observers, rounds int) (alarms int) {
 	required := max(1, observers-1)
 	missed := make([]int, observers)
--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -13,21 +13,21 @@
 	}
 }
 
-// checkInvariants checks the invariants of one process's view: its version never falls, no member returns to an
-// earlier process under its name, and no member is gone that all others hear.
+// checkInvariants checks the invariants of one process's view: its version never falls, no member
+// returns to an earlier process under its name, and no member is gone that all others hear.
 func (n *Node) checkInvariants() {
 	f := n.fleet
 	if f.SkipChecks {
 		return
 	}
 	if v := n.Core.Version(); v < n.version {
-		f.recordViolation("n%d: version %d after %d", n.index, v, n.version)
+		f.recordViolation("n%d: the version of the view is %d after %d", n.index, v, n.version)
 	} else {
 		n.version = v
 	}
 	for _, m := range n.Core.View() {
 		if m.Incarnation.Start() < n.newest[m.ID].Start() {
-			f.recordViolation("n%d: %d went back to an earlier incarnation", n.index, m.ID)
+			f.recordViolation("n%d: member %08x went back to an earlier incarnation", n.index, m.ID)
 		}
 		n.newest[m.ID] = max(m.Incarnation, n.newest[m.ID])
 		if f.Seeds == 0 && m.State == membership.Gone && m.Slot >= 0 && f.heardByAll(m) {
@@ -36,12 +36,12 @@
 	}
 }
 
-// checkChange checks that a process suspects no member within a second after it was paused for more than a
-// second: what it did not hear during the pause proves nothing.
+// checkChange checks that a process marks no member as suspect or unreachable within a second after a
+// pause of more than a second: what it did not hear during the pause proves nothing.
 func (n *Node) checkChange(c membership.Change) {
 	suspects := c.OldState != c.NewState && (c.NewState == membership.Suspect || c.NewState == membership.Unreachable)
 	if suspects && n.resumedAt > 0 && n.fleet.now-n.resumedAt < Sec {
-		n.fleet.recordViolation("n%d accuses %d right after it was paused: %s", n.index, c.ID, c.Reason)
+		n.fleet.recordViolation("n%d suspects member %08x within a second after a pause: %s", n.index, c.ID, c.Reason)
 	}
 }
 
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -9,12 +9,12 @@
 
 // Cost is the traffic of a failure detector and the quality of its detection.
 type Cost struct {
-	Messages, Bytes float64 // per second and process
+	Messages, Bytes float64 // sent per second and process
 	// DetectionTime is the time from a death until 99 % of the survivors see the member as unreachable or
 	// gone, or -1 if that did not happen within the run.
 	DetectionTime Time
-	// FalseAlarms is the number of living members per hour in the whole fleet that some process sees as
-	// unreachable or gone.
+	// FalseAlarms is the number of false alarms per hour in the whole fleet: living members that some process
+	// sees as unreachable or gone.
 	FalseAlarms float64
 }
 
@@ -25,8 +25,8 @@
 	detectedAfter map[int]Time // by process: time from the death until it saw the victim as unreachable or gone
 }
 
-// Measure returns the cost of package membership in a fleet of n processes. loss is the probability that a
-// datagram is lost. The fleet runs for duration without other faults, and then one process dies.
+// Measure returns the cost of package membership in a fleet of n processes. loss is the probability that
+// a datagram is lost. The fleet runs for duration without other faults, and then one process dies.
 func Measure(n int, loss float64, duration Time, seed uint64) Cost {
 	f := New(n, seed, membership.Config{})
 	f.Loss, f.SkipChecks = loss, true
--- a/internal/fleet/membership/simulation/fleet.go
+++ b/internal/fleet/membership/simulation/fleet.go
@@ -33,37 +33,37 @@
 	firstPort = 1000
 )
 
-// link is the direction from one process to another.
+// link is one direction between two processes, identified by their numbers.
 type link struct{ source, destination int }
 
 // Fleet holds the processes of a run and the network between them.
 type Fleet struct {
-	Nodes       []*Node
-	Loss        float64 // probability that a datagram is lost
-	Duplication float64 // probability that a datagram arrives twice
-	Delay       Time    // one-way delay of a datagram
-	Jitter      Time    // maximum random addition to Delay; a later datagram may overtake an earlier one
-	CutLinks    map[link]bool
+	Nodes       []*Node       // by process number
+	Loss        float64       // probability that a datagram is lost
+	Duplication float64       // probability that a datagram arrives twice
+	Delay       Time          // one-way delay of a datagram
+	Jitter      Time          // maximum random addition to Delay; a later datagram may overtake an earlier one
+	CutLinks    map[link]bool // links that lose all datagrams
 	// OnChange, if not nil, is called with each change of the view of process at.
 	OnChange func(at int, c membership.Change)
 	// OnSend, if not nil, is called with each datagram before faults of the network apply.
 	OnSend func(from, slot int, datagram []byte)
 	// SkipChecks disables the checks of invariants, which are most of the work in large fleets.
 	SkipChecks bool
-	// Seeds is the number of processes whose addresses all processes know; they learn those of the others.
-	// Zero means that all slots are configured.
+	// Seeds is the number of processes, from 0 on, whose addresses all processes know; they learn those
+	// of the others. Zero means that all slots are configured.
 	Seeds     int
-	Violation string // the first violated invariant; empty if there is none
+	Violation string // description of the first violated invariant; empty if there is none
 
 	now        Time
-	lastEvent  int
+	lastEvent  int // sequence number of the last scheduled event
 	rng        *rand.Rand
 	queue      eventQueue
 	baseConfig membership.Config
 }
 
-// New returns a fleet of n processes, which all start within the first second. planted is the configuration
-// on which that of each process is based: it may set planted faults, and durations other than the defaults.
+// New returns a fleet of n processes, which all start within the first second. The configuration of each
+// process is based on baseConfig, which may inject faults and set durations other than the defaults.
 func New(n int, seed uint64, baseConfig membership.Config) *Fleet {
 	f := &Fleet{Delay: defaultDelay, Jitter: defaultJitter, CutLinks: map[link]bool{}, rng: rand.New(rand.NewPCG(seed, 7)), baseConfig: baseConfig}
 	for i := range n {
@@ -76,7 +76,7 @@
 // Now returns the current time of the run.
 func (f *Fleet) Now() Time { return f.now }
 
-// Schedule schedules a call of run at time t, or now if t has passed.
+// Schedule schedules a call of run at time t, or at the current time if t has passed.
 func (f *Fleet) Schedule(t Time, run func()) {
 	f.lastEvent++
 	heap.Push(&f.queue, scheduledEvent{max(t, f.now), f.lastEvent, run})
@@ -137,7 +137,7 @@
 	}
 }
 
-// Pause pauses process i, as SIGSTOP does.
+// Pause pauses process i, as SIGSTOP does. It does nothing if the process does not run or is paused.
 func (f *Fleet) Pause(i int) {
 	if n := f.Nodes[i]; n.Running && !n.Paused {
 		n.Paused, n.pausedAt = true, f.now
@@ -153,7 +153,7 @@
 	n.Paused = false
 }
 
-// Run advances the run to a time. It skips the remaining events if an invariant is violated.
+// Run advances the run to time until. It skips the remaining events if an invariant is violated.
 func (f *Fleet) Run(until Time) {
 	for len(f.queue) > 0 && f.queue[0].due <= until && f.Violation == "" {
 		e := heap.Pop(&f.queue).(scheduledEvent)
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -8,7 +8,8 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// TestRandomPlans runs random plans. MEMBERSHIP_SEEDS sets the number of plans, MEMBERSHIP_FIRST the first seed.
+// TestRandomPlans runs random plans. MEMBERSHIP_SEEDS sets the number of plans, MEMBERSHIP_FIRST the
+// first seed.
 func TestRandomPlans(t *testing.T) {
 	seeds := 300
 	if s, err := strconv.Atoi(os.Getenv("MEMBERSHIP_SEEDS")); err == nil {
@@ -40,7 +41,7 @@
 			}
 		}
 		if !found {
-			t.Errorf("planted fault %q violates no invariant in 200 plans", name)
+			t.Errorf("injected fault %q violates no invariant in 200 plans", name)
 		}
 	}
 }
@@ -50,16 +51,16 @@
 	return Fault{Kind: kind, StartMS: start, DurationMS: duration, Process: process}
 }
 
-// TestHardCases checks for each case that no invariant is violated, that no running process sees another
-// one as gone, and that the views agree at the end.
+// TestHardCases checks for each case that no invariant is violated, that no running process that receives
+// datagrams sees a process of neverGone as gone, and that the views agree at the end if none is lost.
 func TestHardCases(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4}
 	for _, c := range []struct {
 		name      string
 		plan      []Fault
-		loss      float64
-		neverGone []int // processes that no process may see as gone
-		until     Time  // end of the run, in seconds
+		loss      float64 // probability that a datagram is lost
+		neverGone []int   // processes that no process may see as gone
+		until     Time    // end of the run, in seconds
 	}{
 		{"a pause of 0.2 s", []Fault{processFault(faultPause, 5000, 200, 1)}, 0, all, 15},
 		{"a pause of 2 s", []Fault{processFault(faultPause, 5000, 2000, 1)}, 0, all, 15},
@@ -175,8 +176,9 @@
 	}
 }
 
-// TestManyKilledAtOnce checks that after three of five processes are killed, the other two have no majority
-// and see them only as unreachable, and that after three of seven are killed, the other four see them as gone.
+// TestManyKilledAtOnce checks that after three of five processes are killed, the other two have no
+// majority and see them only as unreachable, and that after three of seven are killed, the other four
+// see them as gone.
 func TestManyKilledAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		n    int
@@ -219,8 +221,9 @@
 	}
 }
 
-// TestJoiningBySeeds checks that processes that know two addresses at first learn those of the others, and
-// that the views agree after one process has joined late and one has left, and after both seeds have restarted.
+// TestJoiningBySeeds checks that processes that know two addresses at first learn those of the others,
+// and that the views agree after one process has joined late and one has left, and after both seeds have
+// restarted.
 func TestJoiningBySeeds(t *testing.T) {
 	for seed := range uint64(5) {
 		f := New(12, seed, membership.Config{FleetSize: 12})
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -17,16 +17,16 @@
 	Deaf      bool // whether it receives no datagrams
 	Mute      bool // whether all datagrams that it sends are lost
 	Slow      bool // whether it gets only every second turn
-	WallStep  Time // offset of its wall clock
+	WallStep  Time // how far its wall clock is ahead; negative if behind
 	SentCount int  // number of datagrams that it has sent
 
 	fleet     *Fleet
 	index     int
-	turns     int
+	turns     int              // number of turns, including those skipped by Paused and Slow
 	inbox     []queuedDatagram // datagrams that arrived while it was paused
 	pausedAt  Time
 	resumedAt Time                              // end of the last pause of more than a second; zero if there was none
-	newest    map[uint32]membership.Incarnation // newest incarnation seen, by member ID
+	newest    map[uint32]membership.Incarnation // newest incarnation in the view so far, by member ID
 	version   uint64                            // version of the view at the last check
 }
 
@@ -43,6 +43,7 @@
 	clear(n.newest)
 }
 
+// receive passes a datagram from another process to the core.
 func (n *Node) receive(from int, data []byte) {
 	if n.fleet.Seeds > 0 {
 		n.Core.ReceiveFrom(n.fleet.now, address(from), data)
@@ -51,7 +52,7 @@
 	}
 }
 
-// takeTurn calls Core.Tick and then delivers the datagrams that waited for the process. With the planted
+// takeTurn calls Core.Tick and then delivers the datagrams that waited for the process. With the injected
 // fault IgnorePause, it skips the tick if datagrams waited, so that they are handled before the next tick.
 func (n *Node) takeTurn() {
 	inbox := n.inbox
@@ -76,7 +77,7 @@
 		slot = int(n.Core.Address(slot).Port()) - firstPort
 	}
 	if len(data) > membership.MaxDatagramBytes {
-		f.recordViolation("a datagram of %d bytes", len(data))
+		f.recordViolation("n%d sends a datagram of %d bytes, at most %d are allowed", n.index, len(data), membership.MaxDatagramBytes)
 		return
 	}
 	if n.Mute {
@@ -95,6 +96,8 @@
 	}
 }
 
+// deliver delivers a datagram at the end of its delay. The datagram is lost if the process does not run or is
+// deaf or the link is cut, and waits in the inbox if the process is paused.
 func (n *Node) deliver(from int, data []byte) {
 	switch {
 	case !n.Running || n.Deaf || n.fleet.CutLinks[link{from, n.index}]:
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -8,7 +8,8 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Fault is a fault of a process, a link or the network, with a start and a duration. A plan is a list of them.
+// Fault is a fault of a process, a link or the network, with a start and a duration. A plan is a list of
+// them.
 type Fault struct {
 	Kind        string // see IsFaultKind
 	StartMS     Time   // in milliseconds since the start of the run
@@ -42,9 +43,9 @@
 const (
 	faultCut         = "cut"     // Process is cut off from all others
 	faultOneWay      = "one-way" // datagrams from Process to Destination are lost
-	faultLoss        = "loss"
-	faultDuplication = "twice"
-	faultDelay       = "slow" // datagrams have a jitter of 100 ms
+	faultLoss        = "loss"    // datagrams are lost with probability Amount
+	faultDuplication = "twice"   // datagrams arrive twice with probability Amount
+	faultDelay       = "slow"    // datagrams have a jitter of 100 ms
 	faultGarbage     = "garbage"
 	faultFullDisk    = "full"
 )
@@ -149,7 +150,7 @@
 const SettleTime = 20 * Sec
 
 // RunRandomPlan runs a random plan and returns the violated invariant, or a description of views that do
-// not agree in time. It returns "" if there is neither.
+// not agree in time. It returns "" if there is neither. baseConfig is that of New.
 func RunRandomPlan(seed uint64, baseConfig membership.Config) (plan []Fault, violation string) {
 	n := 3 + int(seed%6)
 	plan = RandomPlan(n, seed)
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -7,7 +7,7 @@
 
 // The states of a member.
 const (
-	// Joining means that no process has heard the member yet.
+	// Joining means that no process is known to have heard the member yet.
 	Joining State = iota
 	// Alive means that this process, or another one that reports it, has heard the member lately.
 	Alive
@@ -25,7 +25,7 @@
 
 var stateNames = [...]string{"joining", "alive", "suspect", "unreachable", "left", "gone"}
 
-// String returns the name of a state as shown to operators.
+// String returns the name of the state as shown to operators, or "unknown".
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -48,7 +48,8 @@
 // NewIncarnation returns the first incarnation of a process that started at unixMS, in Unix milliseconds.
 func NewIncarnation(unixMS int64) Incarnation { return Incarnation(uint64(unixMS) << 16) }
 
-// Start returns the start time of the process, in Unix milliseconds. It differs between processes.
+// Start returns the start time of the process, in Unix milliseconds. It differs between the processes that
+// have run under a member's name.
 func (i Incarnation) Start() uint64 { return uint64(i) >> 16 }
 
 // ID returns the ID of a member in datagrams, the hash of its name.
@@ -58,7 +59,7 @@
 	return h.Sum32()
 }
 
-// Change is a change of the view. The states are equal if the member restarted.
+// Change is a change of the view of one member. OldState and NewState are equal if the member restarted.
 type Change struct {
 	Name               string // empty if not known yet
 	ID                 uint32
@@ -70,9 +71,9 @@
 
 // Counts counts the datagrams that a process has sent and received, its pauses, and its refutations.
 type Counts struct {
-	Sent, Bytes, Heard                  int // datagrams sent, their bytes, datagrams accepted
-	Malformed, OtherVersion, OtherFleet int // datagrams rejected
+	Sent, Bytes, Heard                  int // datagrams sent, their bytes with Config.Overhead, datagrams accepted
+	Malformed, OtherVersion, OtherFleet int // datagrams rejected, by reason
 	OldIncarnation                      int // datagrams of a process that a newer one has replaced
 	NameConflicts                       int // datagrams under a name that another live process has
-	Pauses, Refutations                 int
+	Pauses, Refutations                 int // detected pauses of this process, reports about it that it refuted
 }
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -22,7 +22,7 @@
 	// member; zero if there is none.
 	unansweredSince Time
 	suspectedAt     Time // when the suspicion started; zero if the member is not suspected
-	stateSince      Time
+	stateSince      Time // when State was last set
 }
 
 // digest returns the member's share of the view's digest. It leaves out what may differ between correct
@@ -36,7 +36,7 @@
 	case Suspect:
 		s = Alive
 	}
-	// A 64-bit finalizer makes it possible to combine the members' digests by XOR in any order.
+	// The 64-bit finalizer mixes the bits, so that XOR can combine the members' digests in any order.
 	x := uint64(m.ID)<<32 ^ m.Incarnation.Start()*0x9e3779b97f4a7c15 ^ uint64(s)*0xbf58476d1ce4e5b9
 	x ^= x >> 31
 	x *= 0x94d049bb133111eb
@@ -57,7 +57,7 @@
 
 func newMemberTable() memberTable { return memberTable{byID: map[uint32]*member{}} }
 
-// get returns the member with an ID, or nil if it is not known.
+// get returns the member with the given ID, or nil if it is not known.
 func (t *memberTable) get(id uint32) *member { return t.byID[id] }
 
 // add adds a new member in state Joining and returns it.
@@ -72,7 +72,7 @@
 	return m
 }
 
-// setState changes a member's state.
+// setState changes a member's state, and the counts, the digest and the version accordingly.
 func (t *memberTable) setState(m *member, to State, now Time) {
 	t.digest ^= m.digest()
 	t.count(m.State, -1)
@@ -105,7 +105,7 @@
 	m.unansweredSince = since
 }
 
-// count adds by to the counts that include state s.
+// count adds delta to the counts that include state s.
 func (t *memberTable) count(s State, delta int) {
 	if s.countsForMajority() {
 		t.alive += delta
@@ -130,7 +130,7 @@
 	return ids
 }
 
-// members returns a copy of the view, sorted by ID.
+// members returns a copy of the view, sorted by ID. It shares only the slices Member.Unheard with the view.
 func (t *memberTable) members() []Member {
 	out := make([]Member, 0, len(t.ids))
 	for _, id := range t.ids {
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -1,7 +1,8 @@
 package membership
 
-// refutationMargin is how much later than the reporting process this process must have heard a member to
-// contradict its suspicion. Ages are rounded, and they do not include the time that the datagram travels.
+// refutationMargin is how much later than reported a member must have been heard, for this process to
+// contradict a reported suspicion. Reported ages are rounded, and they do not include the time that the
+// datagram travels.
 const refutationMargin = 50 * ms
 
 // handleUpdate handles what a member gossips about another member, itself, or this process.
@@ -47,8 +48,9 @@
 	}
 }
 
-// handleReportedGone marks a member as gone, unless a process is known to have heard it lately or this
-// process was just paused. In both cases it spreads the resulting state, which may contradict the report.
+// handleReportedGone handles a report that a member is gone. It marks the member as gone, unless a process is
+// known to have heard it within Config.UnreachableAfter or this process was just paused. In each case it
+// spreads the resulting state, which may contradict the report.
 func (c *Core) handleReportedGone(m *member) {
 	if c.now-m.HeardByAny > c.cfg.UnreachableAfter && c.isolation.maySuspect(c.now) {
 		c.markGone(m, reasonGoneToOthers)
@@ -56,7 +58,8 @@
 	c.spread(m.ID)
 }
 
-// handleLivingUpdate handles an update that reports a member as alive, suspect or unreachable.
+// handleLivingUpdate handles an update that reports a member as alive, suspect or unreachable. newer is
+// whether the update has a newer incarnation than the one known before.
 func (c *Core) handleLivingUpdate(m *member, u MemberUpdate, newer bool) {
 	heardAt := c.now - Time(u.Age)*ms
 	if newer && m.State.ended() {
@@ -89,7 +92,9 @@
 }
 
 // handleReportedSuspicion handles a report that a member is suspect or unreachable. It contradicts the
-// report if the member was heard since; otherwise this process suspects the member, too, and probes it.
+// report if the member was heard since; otherwise this process suspects the member, too, and probes it. It
+// marks a suspect as unreachable if that is reported and no process has heard the member for
+// Config.UnreachableAfter.
 func (c *Core) handleReportedSuspicion(m *member, reported State, heardAt Time) {
 	unheard := c.now - m.HeardByAny
 	maySuspect := c.isolation.maySuspect(c.now)
