--- a/internal/fleet/memberagent/rejection.go
+++ b/internal/fleet/memberagent/rejection.go
@@ -20,7 +20,7 @@
 	reasonOwnName          rejectionReason = "own_name"           // the sender uses this process's name
 	reasonNameInUse        rejectionReason = "name_in_use"        // the sender uses the name of another live member
 	reasonRejectedByMember rejectionReason = "rejected_by_member" // the sender does not admit this process
-	reasonUnknown          rejectionReason = "unknown"            // an error without a reason of its own
+	reasonUnknown          rejectionReason = "unknown"            // any other error
 )
 
 // reasonOfError holds the reasons of the errors that contain no further fields.
--- a/internal/fleet/memberagent/socket.go
+++ b/internal/fleet/memberagent/socket.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// reportTimeout is how long the event loop may take to make a report, the client to read it, and
-	// RequestReport to connect.
+	// reportTimeout is how long the event loop may take to make a report and the client to read it, both
+	// together, and how long RequestReport may take to connect.
 	reportTimeout = 2 * time.Second
 	// requestTimeout is how long RequestReport waits for the complete report.
 	requestTimeout = 5 * time.Second
--- a/internal/fleet/memberagent/socket_test.go
+++ b/internal/fleet/memberagent/socket_test.go
@@ -12,15 +12,15 @@
 // and that only the owner may use the socket.
 func TestListenUnix(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	left, err := net.Listen("unix", path)
+	abandoned, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.(*net.UnixListener).SetUnlinkOnClose(false)
-	left.Close()
+	abandoned.(*net.UnixListener).SetUnlinkOnClose(false)
+	abandoned.Close()
 	l, err := ListenUnix(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ListenUnix(%s) with the socket file of an ended process: error %v, want none", path, err)
 	}
 	defer l.Close()
 	info, err := os.Stat(path)
--- a/internal/fleet/membership/datagram_test.go
+++ b/internal/fleet/membership/datagram_test.go
@@ -94,7 +94,7 @@
 	// Two processes use one name at two slots: the one that is alive keeps it.
 	d.begin(header{ID("fleet f"), ID("twin"), NewIncarnation(1), 0}, MaxDatagramBytes)
 	if err := c.Receive(1, 1, d.bytes()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("first process at slot 1 under the name twin: error %v, want none", err)
 	}
 	d.begin(header{ID("fleet f"), ID("twin"), NewIncarnation(2), 0}, MaxDatagramBytes)
 	if err := c.Receive(2, 2, d.bytes()); err == nil || c.View()[0].Slot != 1 {
--- a/internal/fleet/membership/decode.go
+++ b/internal/fleet/membership/decode.go
@@ -26,13 +26,13 @@
 	if h.fleet != fleet {
 		return h, nil, ErrOtherFleet
 	}
-	all := parts(b[headerLength:])
-	for rest := all; len(rest) > 0; {
+	body := parts(b[headerLength:])
+	for rest := body; len(rest) > 0; {
 		if _, ok := rest.next(); !ok {
 			return h, nil, ErrMalformed
 		}
 	}
-	return h, all, nil
+	return h, body, nil
 }
 
 // parts holds the parts of a datagram that are not yet read. Reading them neither copies nor allocates.
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -29,7 +29,7 @@
 }
 
 // drain calls write for each queued member and removes those whose update has been sent often enough. write
-// writes the update to a datagram and reports whether it fitted.
+// must add the update to a datagram and report whether it fitted.
 func (q *gossipQueue) drain(write func(id uint32) bool) {
 	slices.SortStableFunc(q.items, func(a, b gossipItem) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
 	remaining := q.items[:0]
@@ -47,7 +47,7 @@
 // spread queues what this process knows about a member for the next datagrams.
 func (c *Core) spread(id uint32) { c.gossip.spread(id, len(c.members.ids)) }
 
-// updateFor returns what this process knows about a known member, or about itself, now.
+// updateFor returns the current update about a known member or about this process.
 func (c *Core) updateFor(id uint32) MemberUpdate {
 	if id == c.selfID {
 		s := Alive
@@ -90,7 +90,7 @@
 	c.transmit(slot, d)
 }
 
-// transmit sends a datagram as it is, and counts it.
+// transmit sends a datagram without adding to it, and counts it.
 func (c *Core) transmit(slot int, d *datagram) {
 	c.counts.Sent++
 	c.counts.Bytes += d.length + c.cfg.Overhead
--- a/internal/fleet/membership/isolation.go
+++ b/internal/fleet/membership/isolation.go
@@ -30,7 +30,7 @@
 
 // tick records the clocks and returns the time since the last tick. It reports a pause if the monotonic
 // clock or the wall clock advanced by more than threshold: in a suspended machine the monotonic clock can
-// stand still.
+// stand still. A wall clock that was set ahead is therefore also reported as a pause.
 func (i *isolation) tick(now, wall, threshold Time) (gap Time, paused bool) {
 	gap = now - i.lastTick
 	jump := wall - i.lastWall - gap // by how much more than the monotonic clock the wall clock advanced
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -63,7 +63,7 @@
 		c.isolation.advancePastPause(now, gap)
 		c.resumeAfterPause(gap)
 	}
-	h, all, err := decodeHeader(data, c.fleet)
+	h, body, err := decodeHeader(data, c.fleet)
 	if err != nil {
 		c.rejectUndecoded(slot, h, err)
 		return err
@@ -85,7 +85,7 @@
 		c.handleOldIncarnation(slot, h.sender)
 		return nil
 	}
-	return c.handleDatagram(slot, h, all)
+	return c.handleDatagram(slot, h, body)
 }
 
 // rejectUndecoded counts a datagram that decodeHeader rejected, and notifies the sender if it is of
@@ -131,7 +131,7 @@
 }
 
 // handleDatagram handles an accepted datagram: its sender counts as heard.
-func (c *Core) handleDatagram(slot int, h header, all parts) error {
+func (c *Core) handleDatagram(slot int, h header, body parts) error {
 	c.counts.Heard++
 	c.isolation.lastHeard = c.now
 	c.prober.health.improve()
@@ -143,8 +143,8 @@
 	c.handleContact(m, slot, h.incarnation)
 	c.antiEntropy.recordComparison(h.digest == c.Digest(), c.now)
 	var rejected error
-	for len(all) > 0 {
-		p, _ := all.next()
+	for len(body) > 0 {
+		p, _ := body.next()
 		if p.kind() == partRejected {
 			rejected = &RejectedError{Member: h.sender, Reason: decodeRejection(p)}
 		} else {
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -49,10 +49,10 @@
 	byID                 map[uint32]*member
 	ids                  []uint32 // sorted, as no decision may depend on the iteration order of a map
 	version              uint64   // rises with each change that is reported
-	digest               uint32
-	alive                int // number of members that are alive or suspect
-	suspectOrUnreachable int // number of members that are suspect or unreachable
-	unanswered           int // number of members with an unanswered probe
+	digest               uint32   // XOR of the members' digests
+	alive                int      // number of members that are alive or suspect
+	suspectOrUnreachable int      // number of members that are suspect or unreachable
+	unanswered           int      // number of members with an unanswered probe
 }
 
 func newMemberTable() memberTable { return memberTable{byID: map[uint32]*member{}} }
