--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -112,7 +112,9 @@
 	digest        uint32      // digest of the sender's view
 }
 
-// datagram is a datagram under construction. begin must be called first, to write the header.
+// datagram is a datagram under construction. begin must be called first, to write the header. The methods
+// ping, ack, pingRequest, indirectAck and rejected do not check whether their part fits: each is used only
+// for the first part.
 type datagram struct {
 	buffer [MaxDatagramBytes]byte
 	length int
--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -78,6 +78,7 @@
 				alarms++
 			}
 		}
+		// The sender dies at a random time within the interval after its last heartbeat.
 		delays = append(delays, Time((link.last+link.suspectAfter()-now-r.Float64()*float64(heartbeatInterval)/1e9)*1e9))
 	}
 	slices.Sort(delays)
@@ -116,7 +117,7 @@
 	// voted.
 	var delays []Time
 	for range simulatedDeaths {
-		at := make([]float64, observers)
+		at := make([]float64, observers) // alarms of the observers, in seconds after the death
 		for i := range at {
 			at[i] = r.Float64() + float64(observerMissedProbes)
 		}
--- a/internal/fleet/membership/simulation/fleet.go
+++ b/internal/fleet/membership/simulation/fleet.go
@@ -90,7 +90,7 @@
 // Name returns the name of process i.
 func Name(i int) string { return fmt.Sprint("n", i) }
 
-// Start starts process i, or restarts it with a new incarnation.
+// Start starts process i, or restarts it with a new incarnation. It panics if the configuration is invalid.
 func (f *Fleet) Start(i int) {
 	n := f.Nodes[i]
 	core, err := membership.New(f.config(i), n)
