--- a/internal/fleet/memberagent/socket_test.go
+++ b/internal/fleet/memberagent/socket_test.go
@@ -12,20 +12,20 @@
 // and that only the owner may use the socket.
 func TestListenUnix(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	left, err := net.Listen("unix", path)
+	abandoned, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.(*net.UnixListener).SetUnlinkOnClose(false)
-	left.Close()
+	abandoned.(*net.UnixListener).SetUnlinkOnClose(false)
+	abandoned.Close()
 	l, err := ListenUnix(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ListenUnix(%s) with the socket file of an ended process: error %v, want none", path, err)
 	}
 	defer l.Close()
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("socket has mode %v (error %v), want permissions -rw-------", info.Mode(), err)
+		t.Errorf("socket %s has mode %v (error %v), want permissions -rw-------", path, info.Mode(), err)
 	}
 	var inUse *SocketInUseError
 	if _, err := ListenUnix(path); !errors.As(err, &inUse) || inUse.Path != path {
