--- a/internal/testbed/fake/authority.go
+++ b/internal/testbed/fake/authority.go
@@ -9,24 +9,25 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Authority is a certificate authority.
+// Authority is a certificate authority with a self-signed root.
 type Authority struct{ Root *certs.Pair }
 
-// NewAuthority makes an authority that is valid for a day.
+// NewAuthority returns an authority whose root is valid for a day from now.
 func NewAuthority(name string) (*Authority, error) {
 	now := time.Now()
 	p, err := certs.Issue(nil, certs.Spec{Name: name, Authority: true, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(24 * time.Hour)})
 	return &Authority{p}, err
 }
 
-// Pool is a pool of this authority alone.
+// Pool returns a pool that contains only this authority.
 func (a *Authority) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.Root.Cert)
 	return p
 }
 
-// Issue issues a certificate. Defaults of spec: valid from an hour ago for two hours, for servers.
+// Issue issues a certificate. A zero NotBefore means an hour ago, and a zero NotAfter an hour from now. The certificate is
+// for servers unless spec.Client is set.
 func (a *Authority) Issue(spec certs.Spec) (*certs.Pair, error) {
 	now := time.Now()
 	if spec.NotBefore.IsZero() {
@@ -44,7 +45,7 @@
 	return certs.Issue(a.Root, spec)
 }
 
-// TLSCertificate is a pair in the form of crypto/tls.
+// TLSCertificate converts a pair to a tls.Certificate.
 func TLSCertificate(p *certs.Pair) *tls.Certificate {
 	c := &tls.Certificate{PrivateKey: p.Key, Leaf: p.Cert, Certificate: [][]byte{p.Cert.Raw}}
 	for _, r := range p.Chain {
@@ -53,8 +54,8 @@
 	return c
 }
 
-// ServerTLSConfig is a server's side of TLS with the certificate that get returns at each handshake. With clients, it requires a client
-// certificate that the pool verifies.
+// ServerTLSConfig returns a server's configuration that presents the certificate that get returns at each handshake. If
+// clients is not nil, the server requires a client certificate that chains to the pool that clients returns.
 func ServerTLSConfig(get func() *tls.Certificate, clients func() *x509.CertPool) *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return get(), nil }}
@@ -71,7 +72,7 @@
 	return c
 }
 
-// NewServerTLSConfig is a server's side of TLS, with a new certificate for these names.
+// NewServerTLSConfig returns a server's configuration with a new certificate for these host names.
 func (a *Authority) NewServerTLSConfig(names ...string) (*tls.Config, error) {
 	p, err := a.Issue(certs.Spec{Hosts: names})
 	if err != nil {
@@ -81,7 +82,7 @@
 	return ServerTLSConfig(func() *tls.Certificate { return c }, nil), nil
 }
 
-// SaveTrustBundle writes a bundle of authorities into dir and returns its path.
+// SaveTrustBundle writes the authorities' root certificates to trust.pem in dir and returns the file's path.
 func SaveTrustBundle(dir string, all ...*Authority) (string, error) {
 	var bundle []*x509.Certificate
 	for _, a := range all {
@@ -91,7 +92,7 @@
 	return path, certs.ReplaceFile(path, certs.EncodeBundle(bundle...), 0o644)
 }
 
-// SaveClientCertificate issues a client's certificate and writes it into dir with its key.
+// SaveClientCertificate issues a client certificate and writes it and its key to client.pem and client.key in dir.
 func (a *Authority) SaveClientCertificate(dir string, spec certs.Spec) (*certs.Pair, error) {
 	spec.Client = true
 	p, err := a.Issue(spec)
--- a/internal/testbed/fake/badserver.go
+++ b/internal/testbed/fake/badserver.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// BadServer is an upstream host with a fault in its TLS.
+// BadServer is an upstream host that injects one TLS fault into every connection.
 type BadServer struct {
 	tcpServer
 	Fault        Fault
-	Connections  atomic.Int64 // connections that were accepted
-	RequestBytes atomic.Int64 // bytes of requests that it could read, encrypted or not
+	Connections  atomic.Int64 // accepted so far
+	RequestBytes atomic.Int64 // request bytes read so far, sent encrypted or in plain text
 
-	config *tls.Config // nil where the fault needs none
+	config *tls.Config // nil if the fault needs none
 }
 
-// NewBadServer serves on a loopback address.
+// NewBadServer returns a server that listens on a loopback address and injects f.
 func NewBadServer(f Fault, p *PKI) (*BadServer, error) {
 	b := &BadServer{Fault: f}
 	if f.Config != nil {
@@ -30,7 +30,7 @@
 	return b, b.listen(b.serve)
 }
 
-// serve plays the fault on one connection.
+// serve injects the fault into one connection.
 func (b *BadServer) serve(c net.Conn) {
 	b.Connections.Add(1)
 	b.trackConn(c, false)
@@ -47,7 +47,7 @@
 	}
 	t := tls.Server(spy, b.config)
 	t.SetDeadline(time.Now().Add(2 * time.Second))
-	// If the proxy completes the handshake, its request follows.
+	// A proxy that completes the handshake in spite of the fault sends its request.
 	buf := make([]byte, 4096)
 	for {
 		n, err := t.Read(buf)
@@ -58,13 +58,13 @@
 	}
 }
 
-// countingConn counts requests that are sent in plain text.
+// countingConn adds what it reads to the server's RequestBytes if it contains a request in plain text.
 type countingConn struct {
 	net.Conn
 	server *BadServer
 }
 
-// Read reads, and counts bytes that hold a request.
+// Read reads from the connection and counts the bytes if they contain a request line.
 func (p *countingConn) Read(buf []byte) (int, error) {
 	n, err := p.Conn.Read(buf)
 	if bytes.Contains(buf[:n], []byte("OPEN ")) {
@@ -73,5 +73,5 @@
 	return n, err
 }
 
-// SetLinger has Reset work on it.
+// SetLinger lets Reset reset the connection, which it does only if this method exists.
 func (p *countingConn) SetLinger(seconds int) error { return p.Conn.(*net.TCPConn).SetLinger(seconds) }
--- a/internal/testbed/fake/client.go
+++ b/internal/testbed/fake/client.go
@@ -16,18 +16,19 @@
 	reader *bufio.Reader
 }
 
-// NewID makes a random ID, as requests and groups have it.
+// NewID returns a random ID in the form of request and group IDs: 16 hexadecimal digits.
 func NewID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
 // Answer is the proxy's answer to a request.
 type Answer struct {
-	Kind    string        // UP, BUSY, ERR, or NONE where none came in time
-	Text    string        // the whole line
-	Latency time.Duration // from the request
+	Kind    string        // UP, BUSY, ERR, or NONE if no answer came in time
+	Text    string        // the whole line without its line end
+	Latency time.Duration // time from sending the request
 }
 
-// Open connects to a proxy and sends a request; extra is added to the request line, such as "at=s1". It waits for the answer a second
-// longer than the client would, so that a late answer can be told from a missing one. The client is nil unless the answer is UP.
+// Open connects to a proxy and sends a request. If extra is not empty, Open appends it to the request line's fields, for
+// example "at=s1". It waits for the answer a second longer than wait, so that callers can tell a late answer from a missing
+// one. The client is nil unless the answer is UP.
 func Open(proxy, class, extra string, wait time.Duration) (*Client, Answer, error) {
 	conn, err := net.DialTimeout("tcp", proxy, 5*time.Second)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return c, a, nil
 }
 
-// Exchange sends a line and waits for its answer. migrated says that the answer was MOVE.
+// Exchange sends a line and waits for its answer. It reports whether the answer was MOVE; then took is zero.
 func (c *Client) Exchange(text string, within time.Duration) (took time.Duration, migrated bool, err error) {
 	startedAt := time.Now()
 	c.conn.SetDeadline(startedAt.Add(within))
@@ -79,12 +80,12 @@
 	return time.Since(startedAt), false, nil
 }
 
-// ReadLine waits for a line.
+// ReadLine waits for a line and returns it without its line end.
 func (c *Client) ReadLine(within time.Duration) (string, error) {
 	c.conn.SetReadDeadline(time.Now().Add(within))
 	line, err := c.reader.ReadString('\n')
 	return strings.TrimSpace(line), err
 }
 
-// Close closes the connection.
+// Close closes the client's connection.
 func (c *Client) Close() { c.conn.Close() }
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -1,6 +1,6 @@
-// Package fake holds stand-ins of what a proxy talks to, for tests and for croftlock-experiment: discovery, upstream hosts, hosts with
-// faults in their TLS, clients, and the network between proxies. They are written from the platform's protocol and the public
-// specifications, and run on loopback only, never in a proxy.
+// Package fake provides fakes of what a proxy talks to, for tests and for croftlock-experiment: discovery, upstream hosts, hosts
+// with TLS faults, clients, and the network between proxies. They follow the platform's protocol and the public specifications,
+// run on loopback only, and are never part of a proxy.
 package fake
 
 import (
@@ -13,47 +13,48 @@
 // Entry is an upstream host in an endpoint list.
 type Entry struct {
 	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"` // address
+	Endpoint string  `json:"endpoint"` // network address
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
 	Group    int     `json:"pod_group"`
 	State    string  `json:"state"` // up, draining or removed
 	Weight   float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"` // its start, Unix milliseconds; 0: unknown
+	BootMS   int64   `json:"boot_ms"` // start time, Unix milliseconds; zero if unknown
 }
 
-// List is an endpoint list, or the changes of one, as discovery answers.
+// List is an answer of discovery: a complete endpoint list or the changes to one.
 type List struct {
 	Rev      int64   `json:"rev"`
-	Complete bool    `json:"all"` // the complete list; else changes
+	Complete bool    `json:"all"` // reports whether Targets is the complete list and not only changes
 	Targets  []Entry `json:"targets"`
 }
 
-// Discovery is a discovery service. Its methods may be called from any goroutine.
+// Discovery is a discovery service. Its methods are safe for concurrent use.
 type Discovery struct {
 	server *http.Server
 	addr   string
 
-	mu         sync.Mutex // protects what follows
+	mu         sync.Mutex // protects the fields below
 	rev        int64
 	hosts      []Entry          // in the order in which they were added
-	changedAt  map[string]int64 // revision of the last change, by the host's ID
+	changedAt  map[string]int64 // revision of the last change, by host ID
 	nextChange chan struct{}    // closed at the next change
 	down       bool
-	silenceEnd chan struct{} // not nil: calls wait for its close, and then fail without an answer
-	delay      time.Duration // of every answer
-	calls      int           // received so far
-	onWritten  func(List)
+	silenceEnd chan struct{} // while not nil, calls wait until it is closed and then fail without an answer
+	delay      time.Duration // before every answer
+	calls      int           // number of calls received so far
+	onWritten  func(List)    // see OnWritten
 }
 
-// OnWritten calls f, on any goroutine, with each list that was written: from then on the proxy counts as notified.
+// OnWritten makes the service call f with each list that it has written to a caller, after which the proxy counts as notified.
+// f is called from several goroutines.
 func (d *Discovery) OnWritten(f func(List)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.onWritten = f
 }
 
-// NewDiscovery serves a list on a loopback address.
+// NewDiscovery returns a service that lists the entries and listens on a loopback address.
 func NewDiscovery(entries ...Entry) (*Discovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,13 +67,14 @@
 	return d, nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the service listens on.
 func (d *Discovery) Addr() string { return d.addr }
 
-// Close ends the service.
+// Close stops the service and closes its connections.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Set adds or changes entries; the state removed removes one. Watches are answered at once.
+// Set adds or replaces entries and answers waiting watches at once. An empty state means up, and a zero weight means 1. An entry
+// in the state removed is no longer in the complete list.
 func (d *Discovery) Set(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,7 +101,7 @@
 	d.nextChange = make(chan struct{})
 }
 
-// SetState changes one host's state.
+// SetState changes the state of the host with this ID.
 func (d *Discovery) SetState(uid, state string) {
 	d.mu.Lock()
 	var entry Entry
@@ -113,7 +115,7 @@
 	d.Set(entry)
 }
 
-// SetDown makes every call fail with 503, or ends that.
+// SetDown sets whether every call, including waiting watches, fails with status 503.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -122,8 +124,8 @@
 	d.nextChange = make(chan struct{})
 }
 
-// SetSilent stops answers, as an agent does while discovery is down: calls wait, also those that watch already, and fail without an
-// answer when the silence ends.
+// SetSilent sets whether the service withholds all answers, as an agent does while discovery is down. Calls, including watches
+// that have not yet been answered, wait and fail without an answer when the silence ends.
 func (d *Discovery) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,38 +137,38 @@
 	}
 }
 
-// silenceEndChan is closed when the silence ends; nil: there is none.
+// silenceEndChan returns a channel that is closed when the silence ends, or nil if the service is not silent.
 func (d *Discovery) silenceEndChan() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.silenceEnd
 }
 
-// SetDelay delays every answer.
+// SetDelay sets the delay of every answer; zero means none.
 func (d *Discovery) SetDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay = by
 }
 
-// Calls is the number of calls received.
+// Calls returns the number of calls received.
 func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// List is the complete list as it is now.
+// List returns the current complete list.
 func (d *Discovery) List() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listSince(completeList)
 }
 
-// completeList stands, like any number under 0, for the revision in a query for the complete list.
+// completeList is the revision that requests the complete list in a query. Any negative revision does so.
 const completeList = -1
 
-// listSince is what has changed since a revision, or the complete list. mu is held.
+// listSince returns the changes since a revision, or the complete list if rev is negative. The caller must hold mu.
 func (d *Discovery) listSince(rev int64) List {
 	list := List{Rev: d.rev, Complete: rev < 0, Targets: []Entry{}}
 	for _, e := range d.hosts {
--- a/internal/testbed/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -10,22 +10,23 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Fault is a fault in a server's TLS, and what a proxy has to log of it.
+// Fault describes a TLS fault of a server and the reason that a proxy must log for it.
 type Fault struct {
 	Kind   string
-	Reason string // as the proxy logs it; "": it logs none
-	// CompletesHandshake: the handshake is completed, so the proxy may send its request; the server breaks the connection afterwards and
-	// reads nothing. Else no byte of a request may arrive.
+	Reason string // reason that the proxy logs; empty if it logs none
+	// CompletesHandshake reports whether the server completes the handshake and then breaks the connection without reading.
+	// Then the proxy may send its request; otherwise no byte of a request may reach the server.
 	CompletesHandshake bool
-	TLS12              bool                                 // the server and the proxy's settings use TLS 1.2
-	Config             configFunc                           // nil where the fault needs none
-	Serve              func(c net.Conn, config *tls.Config) // handles a connection; nil: a handshake by Config
+	TLS12              bool                                 // the server and the proxy's settings use TLS 1.2 instead of TLS 1.3
+	Config             configFunc                           // returns the server's configuration; nil if the fault needs none
+	Serve              func(c net.Conn, config *tls.Config) // handles a connection; if nil, the server does a handshake with Config
 }
 
-// configFunc makes a server's side of TLS.
+// configFunc returns a server's TLS configuration.
 type configFunc func(p *PKI) (*tls.Config, error)
 
-// withCertificate makes a configuration with a certificate of some kind by an authority.
+// withCertificate returns a configFunc that presents a certificate of the given spec, issued by the given authority. If the spec
+// has no hosts, the certificate is for the server's name.
 func withCertificate(spec func(p *PKI) certs.Spec, issuer func(p *PKI) *Authority) configFunc {
 	return func(p *PKI) (*tls.Config, error) {
 		s := spec(p)
@@ -47,7 +48,7 @@
 
 func defaultSpec(*PKI) certs.Spec { return certs.Spec{} }
 
-// withModification makes a configuration with a change.
+// withModification returns a configFunc that applies change to the configuration that base returns.
 func withModification(base configFunc, change func(*tls.Config)) configFunc {
 	return func(p *PKI) (*tls.Config, error) {
 		c, err := base(p)
@@ -58,7 +59,7 @@
 	}
 }
 
-// Faults are all faults of servers.
+// Faults returns every TLS fault that a BadServer can inject.
 func Faults() []Fault {
 	sound := withCertificate(defaultSpec, trustedAuthority)
 	valid := func(from, to time.Duration) func(*PKI) certs.Spec {
@@ -125,7 +126,7 @@
 	return ServerTLSConfig(func() *tls.Certificate { return TLSCertificate(pair) }, nil), nil
 }
 
-// longChain presents a certificate and a megabyte of others.
+// longChain returns a configuration whose chain is a valid certificate followed by 1 MiB of unrelated ones.
 func longChain(p *PKI) (*tls.Config, error) {
 	pair, err := p.Trusted.Issue(certs.Spec{Hosts: []string{p.ServerName}})
 	if err != nil {
@@ -138,7 +139,7 @@
 	return ServerTLSConfig(func() *tls.Certificate { return c }, nil), nil
 }
 
-// Reset closes a connection with a TCP reset.
+// Reset closes c with a TCP reset if c has a SetLinger method, as TCP connections do. Otherwise it only closes c.
 func Reset(c net.Conn) {
 	if t, ok := c.(interface{ SetLinger(int) error }); ok {
 		t.SetLinger(0)
@@ -146,10 +147,10 @@
 	c.Close()
 }
 
-// tricklingConn writes a byte at a time, slowly.
+// tricklingConn writes one byte every 5 ms.
 type tricklingConn struct{ net.Conn }
 
-// Write writes a byte each 5 ms.
+// Write writes p byte by byte with a pause of 5 ms after each.
 func (t *tricklingConn) Write(p []byte) (int, error) {
 	for i := range p {
 		if _, err := t.Conn.Write(p[i : i+1]); err != nil {
@@ -160,13 +161,13 @@
 	return len(p), nil
 }
 
-// truncatingConn fails writes after some bytes.
+// truncatingConn fails writes once it has written bytesLeft bytes.
 type truncatingConn struct {
 	net.Conn
-	bytesLeft int
+	bytesLeft int // that Write still accepts
 }
 
-// Write writes up to the bytes left.
+// Write writes p, or the bytes left of it, in which case it returns io.ErrClosedPipe.
 func (t *truncatingConn) Write(p []byte) (int, error) {
 	n := min(t.bytesLeft, len(p))
 	t.bytesLeft -= n
--- a/internal/testbed/fake/hosts.go
+++ b/internal/testbed/fake/hosts.go
@@ -1,12 +1,12 @@
 package fake
 
-// Hosts are upstream hosts with a discovery that lists them.
+// Hosts is a set of upstream hosts and the discovery service that lists them.
 type Hosts struct {
 	Servers   []*Server
 	Discovery *Discovery
 }
 
-// NewHosts starts a host for each ID, in one zone, without TLS.
+// NewHosts starts a host without TLS for each ID, all in one zone, and a discovery service that lists them.
 func NewHosts(zone string, ids ...string) (*Hosts, error) {
 	h := &Hosts{}
 	for _, id := range ids {
@@ -25,7 +25,7 @@
 	return h, nil
 }
 
-// Entries are the hosts in an endpoint list.
+// Entries returns the hosts' entries in an endpoint list.
 func (h *Hosts) Entries() (entries []Entry) {
 	for _, s := range h.Servers {
 		entries = append(entries, s.Entry())
@@ -33,7 +33,7 @@
 	return entries
 }
 
-// Close ends the hosts and their discovery.
+// Close stops the hosts and their discovery service.
 func (h *Hosts) Close() {
 	if h.Discovery != nil {
 		h.Discovery.Close()
--- a/internal/testbed/fake/mesh.go
+++ b/internal/testbed/fake/mesh.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// Link is the state of the network from one process to another.
+// Link is the state of the network from one process to another. The zero Link has no faults.
 type Link struct {
-	Cut        bool
-	Loss       float64 // part of the datagrams that is lost
-	Duplicates float64 // part that arrives twice
-	Corruption float64 // part that has a byte changed
-	Delay      time.Duration
-	Jitter     time.Duration // random delay of up to this, by which datagrams change their order
+	Cut        bool          // no datagram arrives
+	Loss       float64       // fraction of datagrams that are lost, from 0 to 1
+	Duplicates float64       // fraction that arrive twice
+	Corruption float64       // fraction in which one byte is changed
+	Delay      time.Duration // added to every datagram
+	Jitter     time.Duration // upper bound of a random delay that is added to Delay and reorders datagrams
 }
 
-// Mesh forwards datagrams between processes, with a socket for every ordered pair: each process has its own addresses for the others, so
-// that each link has its own faults in each direction. It needs no privileges.
+// Mesh forwards datagrams between processes. It has a socket for every ordered pair of processes: each process reaches the others
+// at addresses of its own, so that each direction of a link has its own faults. It needs no privileges.
 type Mesh struct {
 	listenAddrs []netip.AddrPort
 	sockets     [][]*net.UDPConn // by sender and receiver
@@ -33,12 +33,12 @@
 	rng   *rand.Rand
 }
 
-// meshCount counts this process's meshes.
+// meshCount is the number of meshes made by this process. It gives each mesh a loopback address of its own.
 var meshCount atomic.Uint32
 
-// NewMesh makes a mesh for n processes; seed is that of its random faults.
+// NewMesh returns a mesh for n processes. seed determines its random faults.
 func NewMesh(n int, seed uint64) (*Mesh, error) {
-	m := &Mesh{listenAddrs: ownAddrs(n), sockets: make([][]*net.UDPConn, n), links: make([][]Link, n), rng: rand.New(rand.NewPCG(seed, 3))}
+	m := &Mesh{listenAddrs: newListenAddrs(n), sockets: make([][]*net.UDPConn, n), links: make([][]Link, n), rng: rand.New(rand.NewPCG(seed, 3))}
 	loopback := net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0"))
 	for i := range n {
 		m.sockets[i], m.links[i] = make([]*net.UDPConn, n), make([]Link, n)
@@ -64,22 +64,22 @@
 	return m, nil
 }
 
-// ownAddrs are the addresses that the processes listen on, at a loopback address that only this mesh uses: another socket could take a
-// port of 127.0.0.1 before its process listens there.
-func ownAddrs(n int) []netip.AddrPort {
+// newListenAddrs returns the addresses that the n processes listen on, at a loopback address that only this mesh uses. On
+// 127.0.0.1 another socket could bind a port before its process listens there.
+func newListenAddrs(n int) []netip.AddrPort {
 	addrs := make([]netip.AddrPort, n)
-	k := meshCount.Add(1)
-	ip := netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%250), byte(k / 250), byte(1 + k%250)})
+	mesh := meshCount.Add(1)
+	ip := netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%250), byte(mesh / 250), byte(1 + mesh%250)})
 	for i := range addrs {
 		addrs[i] = netip.AddrPortFrom(ip, uint16(20000+os.Getpid()/250%400*100+i))
 	}
 	return addrs
 }
 
-// ListenAddr is the address that a process listens on.
+// ListenAddr returns the address that process i must listen on.
 func (m *Mesh) ListenAddr(i int) string { return m.listenAddrs[i].String() }
 
-// PeerAddrs are the addresses by which a process reaches each process, itself included.
+// PeerAddrs returns the addresses at which process i reaches each process, by number. Its own entry is its ListenAddr.
 func (m *Mesh) PeerAddrs(i int) []string {
 	out := make([]string, len(m.listenAddrs))
 	for j := range out {
@@ -90,17 +90,18 @@
 	return out
 }
 
-// UpdateLink changes the link from one process to another.
+// UpdateLink calls change on the link from one process to another. change must not call methods of the mesh.
 func (m *Mesh) UpdateLink(from, to int, change func(l *Link)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change(&m.links[from][to])
 }
 
-// maxDatagram exceeds every datagram of the processes, in bytes.
+// maxDatagram is a size in bytes that exceeds every datagram of the processes.
 const maxDatagram = 2048
 
-// forward forwards datagrams from one process to another, with the source address by which the receiver knows the sender.
+// forward forwards datagrams from one process to another until the socket is closed. They leave from the address at which the
+// receiver knows the sender.
 func (m *Mesh) forward(from, to int) {
 	defer m.forwarders.Done()
 	in, buf := m.sockets[from][to], make([]byte, maxDatagram)
@@ -116,7 +117,7 @@
 	}
 }
 
-// send forwards a datagram with the link's faults.
+// send forwards a datagram and applies the link's faults to it.
 func (m *Mesh) send(from, to int, datagram []byte) {
 	out, addr := m.sockets[to][from], net.UDPAddrFromAddrPort(m.listenAddrs[to])
 	m.mu.Lock()
@@ -145,7 +146,7 @@
 	}
 }
 
-// isClosed returns whether a socket is isClosed.
+// isClosed reports whether a socket of the mesh is closed.
 func (m *Mesh) isClosed(c *net.UDPConn) bool {
 	_, err := c.SyscallConn()
 	if err != nil {
@@ -154,16 +155,16 @@
 	return c.SetReadDeadline(time.Time{}) != nil
 }
 
-// Inject sends a datagram to a process as if another had sent it.
+// Inject sends a datagram to process to from the address at which it knows process from. The link's faults do not apply.
 func (m *Mesh) Inject(from, to int, data []byte) error {
 	if from == to {
-		return fmt.Errorf("no link from %d to itself", from)
+		return fmt.Errorf("process %d has no link to itself", from)
 	}
 	_, err := m.sockets[to][from].WriteToUDP(data, net.UDPAddrFromAddrPort(m.listenAddrs[to]))
 	return err
 }
 
-// Close ends the forwarding.
+// Close closes the mesh's sockets and waits until forwarding has ended.
 func (m *Mesh) Close() {
 	for _, row := range m.sockets {
 		for _, c := range row {
--- a/internal/testbed/fake/pki.go
+++ b/internal/testbed/fake/pki.go
@@ -10,38 +10,38 @@
 	"croftlock/internal/operations/certs"
 )
 
-// PKI is a trusted authority, one that is not trusted, and a revoked certificate.
+// PKI holds an authority that the proxy trusts, another that it does not trust at first, and a revoked certificate.
 type PKI struct {
 	Trusted    *Authority
 	Other      *Authority
-	ServerName string // of the server, as the proxy expects it
-	Revoked    *certs.Pair
+	ServerName string      // that the proxy expects in a server's certificate
+	Revoked    *certs.Pair // issued by Trusted and listed in CRL
 }
 
-// NewPKI makes a PKI for a server's name.
+// NewPKI returns a PKI whose servers have the given name.
 func NewPKI(name string) (*PKI, error) {
 	p := &PKI{ServerName: name}
 	var err, err2, err3 error
 	p.Trusted, err = NewAuthority("trusted")
 	p.Other, err2 = NewAuthority("other")
 	if err != nil || err2 != nil {
-		return nil, fmt.Errorf("%v %v", err, err2)
+		return nil, fmt.Errorf("trusted authority: %v; other authority: %v", err, err2)
 	}
 	p.Revoked, err3 = p.Trusted.Issue(certs.Spec{Hosts: []string{name}})
 	return p, err3
 }
 
-// CRL is the revocation list that names the revoked certificate, valid until the time given.
+// CRL returns a revocation list that contains the revoked certificate and is valid until the given time.
 func (p *PKI) CRL(until time.Time) ([]byte, error) {
 	return certs.NewRevocationList(p.Trusted.Root, 1, time.Now().Add(-time.Hour), until, p.Revoked.Cert)
 }
 
-// OtherCRL is a revocation list that the untrusted authority has signed.
+// OtherCRL returns a revocation list that p.Other has signed.
 func OtherCRL(p *PKI) ([]byte, error) {
 	return certs.NewRevocationList(p.Other.Root, 1, time.Now().Add(-time.Hour), time.Now().Add(time.Hour), &x509.Certificate{SerialNumber: big.NewInt(1)})
 }
 
-// TruncatedPEM is the first half of a bundle, as a reader sees it while it is being written.
+// TruncatedPEM returns the first half of a certificate's PEM encoding, as a reader finds it in a file that is being written.
 func TruncatedPEM(c *x509.Certificate) []byte {
 	whole := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})
 	return whole[:len(whole)/2]
--- a/internal/testbed/fake/server.go
+++ b/internal/testbed/fake/server.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Server is an upstream host. It answers a request with UP and each further line with a line.
+// Server is an upstream host. It answers a request with UP, each further line with GOT and the line, and BYE with BYE.
 type Server struct {
 	tcpServer
 	UID  string
 	Zone string
 
-	// Scripted faults; set them before or while it runs.
+	// Injected faults. They may be set before or while the server runs.
 	Busy        atomic.Bool  // rejects every request with BUSY
 	Failing     atomic.Bool  // answers every request with ERR
 	Silent      atomic.Bool  // answers no line of established connections
-	AnswerDelay atomic.Int64 // of the answer to a request, nanoseconds
+	AnswerDelay atomic.Int64 // delay of the answer to a request, in nanoseconds
 
-	secure   bool // behind TLS
-	tls      atomic.Pointer[tls.Config]
-	draining atomic.Bool // migrates its clients and rejects others
+	secure   bool                       // whether the server uses TLS
+	tls      atomic.Pointer[tls.Config] // for new connections; nil without TLS
+	draining atomic.Bool                // rejects every request with BUSY; see Drain
 
-	// Protected by tcpServer's mutex.
+	// tcpServer.mu protects the fields below.
 	handshakes    []Handshake
-	requests      map[string]int // by the request's ID: 2 means that one ran twice
-	clientSerials map[string]int // by the serial number of the clients' certificates
+	requests      map[string]int // number received, by request ID; 2 means that the host received the request twice
+	clientSerials map[string]int // number of handshakes, by serial number of the client certificate
 }
 
 // Handshake is a completed TLS handshake.
@@ -36,22 +36,22 @@
 	Resumed     bool
 }
 
-// NewServer serves on a loopback address, behind TLS where there is a configuration.
+// NewServer returns a server that listens on a loopback address. It uses TLS if config is not nil.
 func NewServer(uid, zone string, config *tls.Config) (*Server, error) {
 	s := &Server{UID: uid, Zone: zone, secure: config != nil, requests: map[string]int{}, clientSerials: map[string]int{}}
 	s.tls.Store(config)
 	return s, s.listen(s.serve)
 }
 
-// Entry is the host in an endpoint list.
+// Entry returns the host's entry in an endpoint list.
 func (s *Server) Entry() Entry {
 	return Entry{UID: s.UID, Endpoint: s.Addr(), Zone: s.Zone, Model: "type-a"}
 }
 
-// SetTLS changes the configuration of TLS for new connections.
+// SetTLS sets the TLS configuration of new connections. It has no effect on a server without TLS.
 func (s *Server) SetTLS(config *tls.Config) { s.tls.Store(config) }
 
-// Drain migrates all its clients at once, and rejects requests from then on.
+// Drain migrates all clients of the server at once and makes it reject requests from then on.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 	s.mu.Lock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// Established is the number of connections whose request has been answered with UP.
+// Established returns the number of open connections whose request was answered with UP.
 func (s *Server) Established() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,14 +77,14 @@
 	return n
 }
 
-// Handshakes are the TLS handshakes completed so far.
+// Handshakes returns the TLS handshakes completed so far, in order of their completion.
 func (s *Server) Handshakes() []Handshake {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Handshake(nil), s.handshakes...)
 }
 
-// Requests is the number of requests received, and the number of IDs among them that came more than once.
+// Requests returns the number of requests received and the number of request IDs received more than once.
 func (s *Server) Requests() (total, repeated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +97,8 @@
 	return total, repeated
 }
 
-// ClientCertificates counts handshakes by the serial number of the certificate that the client presented.
+// ClientCertificates returns the number of handshakes by the serial number of the certificate that the client presented.
+// Handshakes without a client certificate do not count.
 func (s *Server) ClientCertificates() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/fake/serverconn.go
+++ b/internal/testbed/fake/serverconn.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// serve answers one connection from its handshake to its end.
+// serve handles one connection from its handshake to its end.
 func (s *Server) serve(c net.Conn) {
 	if s.secure {
 		secured, err := s.handshake(c)
@@ -35,10 +35,10 @@
 	}
 }
 
-// handshakeTimeout is how long a client may take for its side of a handshake.
+// handshakeTimeout bounds a TLS handshake.
 const handshakeTimeout = 10 * time.Second
 
-// handshake completes the server's side of TLS, and records it.
+// handshake completes the server's side of a TLS handshake and records it.
 func (s *Server) handshake(c net.Conn) (net.Conn, error) {
 	t := tls.Server(c, s.tls.Load())
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
@@ -56,10 +56,10 @@
 	return t, nil
 }
 
-// errInvalidRequest says that a first line is not a valid request.
+// errInvalidRequest reports that a connection's first line is not a valid request.
 var errInvalidRequest = errors.New("the first line is not a valid request")
 
-// readRequest reads a request line and returns its ID.
+// readRequest reads a request line and returns the request's ID. It returns errInvalidRequest if the line is not a request.
 func readRequest(in *bufio.Reader) (id string, err error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -72,7 +72,7 @@
 	return words[1], nil
 }
 
-// answer answers a request, and returns whether its connection goes on.
+// answer records and answers a request. It reports whether the request was served, so that the connection stays open.
 func (s *Server) answer(c net.Conn, id string) bool {
 	time.Sleep(time.Duration(s.AnswerDelay.Load()))
 	s.mu.Lock()
@@ -91,7 +91,7 @@
 	return true
 }
 
-// serveLines answers each further line, until the client ends with BYE or the connection breaks.
+// serveLines answers the lines of an established connection until the client sends BYE or the connection breaks.
 func (s *Server) serveLines(c net.Conn, in *bufio.Reader) {
 	for {
 		line, err := in.ReadString('\n')
--- a/internal/testbed/fake/tcpserver.go
+++ b/internal/testbed/fake/tcpserver.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// tcpServer accepts connections on a loopback address and holds them until its end.
+// tcpServer accepts connections on a loopback address and tracks them so that Close can close them.
 type tcpServer struct {
 	listener net.Listener
 
-	mu    sync.Mutex        // protects conns, and what the server that embeds it counts
-	conns map[net.Conn]bool // true: its client has been answered with UP
+	mu    sync.Mutex        // protects conns and the counts of the server that embeds it
+	conns map[net.Conn]bool // reports whether the request was answered with UP
 }
 
-// listen accepts connections, each of which serve handles on a goroutine of its own.
+// listen starts accepting connections and calls serve for each of them on its own goroutine.
 func (s *tcpServer) listen(serve func(net.Conn)) error {
 	s.conns = map[net.Conn]bool{}
 	var err error
@@ -32,17 +32,17 @@
 	return nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the server listens on.
 func (s *tcpServer) Addr() string { return s.listener.Addr().String() }
 
-// trackConn records a connection, and whether its client has been answered with UP.
+// trackConn records a connection and whether its request was answered with UP.
 func (s *tcpServer) trackConn(c net.Conn, established bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = established
 }
 
-// closeConn closes a connection and forgets it.
+// closeConn closes a connection and stops tracking it.
 func (s *tcpServer) closeConn(c net.Conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -50,7 +50,7 @@
 	c.Close()
 }
 
-// Close ends it and its connections.
+// Close closes the listener and all tracked connections.
 func (s *tcpServer) Close() {
 	s.listener.Close()
 	s.mu.Lock()
--- a/internal/testbed/fake/tlsrecords.go
+++ b/internal/testbed/fake/tlsrecords.go
@@ -15,23 +15,23 @@
 	"sync"
 )
 
-// crypto/tls sends neither key updates nor requests to renegotiate. These are encoded here after RFC 8446 and RFC 5246, under the
-// handshake's keys.
+// A crypto/tls server neither sends key updates on its own nor requests renegotiation. This file encodes both according to
+// RFC 8446 and RFC 5246 and encrypts them with the keys of the handshake.
 
-// keyLog keeps a key log in NSS's format: lines of a label, the client's random and the secret.
+// keyLog stores a key log in the NSS format: each line consists of a label, the client's random and a secret.
 type keyLog struct {
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-// Write appends what crypto/tls logs.
+// Write appends a line of the key log. crypto/tls calls it during the handshake.
 func (k *keyLog) Write(p []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.log.Write(p)
 }
 
-// lastSecret returns the last secret with a label, and the client's random.
+// lastSecret returns the last secret logged under a label and the client's random. It returns nil for both if there is none.
 func (k *keyLog) lastSecret(label string) (random, secret []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -44,7 +44,7 @@
 	return random, secret
 }
 
-// newAESGCM is AES-128-GCM.
+// newAESGCM returns AES-128-GCM with the given 16-byte key.
 func newAESGCM(key []byte) cipher.AEAD {
 	block, err := aes.NewCipher(key)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return a
 }
 
-// expandLabel is HKDF-Expand-Label of RFC 8446, 7.1, with SHA-256 and no context.
+// expandLabel implements HKDF-Expand-Label of RFC 8446, section 7.1, with SHA-256 and an empty context. It returns n bytes.
 func expandLabel(secret []byte, label string, n int) []byte {
 	info := []byte{byte(n >> 8), byte(n), byte(len("tls13 ") + len(label))}
 	info = append(info, "tls13 "+label...)
@@ -69,7 +69,7 @@
 	return out
 }
 
-// floodKeyUpdates completes a handshake of TLS 1.3 and then sends key updates, each asking for one in return.
+// floodKeyUpdates completes a TLS 1.3 handshake and then sends 1000 key updates, each of which requests one in return.
 func floodKeyUpdates(c net.Conn, config *tls.Config) {
 	var log keyLog
 	config = config.Clone()
@@ -81,16 +81,16 @@
 	_, secret := log.lastSecret("SERVER_TRAFFIC_SECRET_0")
 	for range 1000 {
 		key, nonce := expandLabel(secret, "key", 16), expandLabel(secret, "iv", 12)
-		inner := []byte{24, 0, 0, 1, 1, 22} // KeyUpdate, update_requested; its content type
+		inner := []byte{24, 0, 0, 1, 1, 22} // KeyUpdate with update_requested, then the content type: handshake
 		head := []byte{23, 3, 3, 0, byte(len(inner) + 16)}
 		if _, err := c.Write(append(head, newAESGCM(key).Seal(nil, nonce, inner, head)...)); err != nil {
 			return
 		}
-		secret = expandLabel(secret, "traffic upd", 32) // a new key, whose sequence numbers begin at 0
+		secret = expandLabel(secret, "traffic upd", 32) // sequence numbers restart at 0 with each key, so the nonce is the IV
 	}
 }
 
-// renegotiate completes a handshake of TLS 1.2 and then asks for another.
+// renegotiate completes a TLS 1.2 handshake and then sends a HelloRequest, which requests renegotiation.
 func renegotiate(c net.Conn, config *tls.Config) {
 	var log keyLog
 	config = config.Clone()
@@ -101,10 +101,10 @@
 		return
 	}
 	client, master := log.lastSecret("CLIENT_RANDOM")
-	server := w.first[11:43] // record and handshake headers, version, then the random
+	server := w.first[11:43] // the random follows the record header, handshake header and version
 	block := prf(master, "key expansion", append(append([]byte(nil), server...), client...), 40)
 	key, salt := block[16:32], block[36:40]
-	// The server's Finished was its first sealed record.
+	// The server's Finished was its first encrypted record, with sequence number 0.
 	seq := binary.BigEndian.AppendUint64(nil, 1)
 	request := []byte{0, 0, 0, 0} // HelloRequest
 	extra := append(append([]byte(nil), seq...), 22, 3, 3, 0, byte(len(request)))
@@ -113,13 +113,13 @@
 	c.Write(append(record, sealed...))
 }
 
-// firstBytesRecorder keeps the first bytes that are written, which hold the server's random.
+// firstBytesRecorder records the beginning of what is written to the connection, which contains the server's random.
 type firstBytesRecorder struct {
 	net.Conn
-	first []byte
+	first []byte // of the first writes, up to 64 bytes each
 }
 
-// Write writes, and keeps the first bytes.
+// Write writes p to the connection. It records up to 64 bytes of p until at least 64 bytes are recorded.
 func (f *firstBytesRecorder) Write(p []byte) (int, error) {
 	if len(f.first) < 64 {
 		f.first = append(f.first, p[:min(len(p), 64)]...)
@@ -127,7 +127,7 @@
 	return f.Conn.Write(p)
 }
 
-// prf is that of RFC 5246, 5, with SHA-256.
+// prf implements the pseudorandom function of RFC 5246, section 5, with SHA-256. It returns n bytes.
 func prf(secret []byte, label string, seed []byte, n int) []byte {
 	mac := func(parts ...[]byte) []byte {
 		h := hmac.New(sha256.New, secret)
--- a/internal/testbed/fake/watch.go
+++ b/internal/testbed/fake/watch.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// maxHoldMS is the longest watch that a caller may ask for, in milliseconds.
+// maxHoldMS is the longest time in milliseconds that a query may ask discovery to wait for a change.
 const maxHoldMS = 60000
 
 // watchQuery is a query for the complete list, or a watch on the changes since a revision.
 type watchQuery struct {
-	from   int64 // revision; under 0: the complete list
-	holdMS int64 // how long to wait for a change, milliseconds; 0: not at all
+	from   int64 // revision after which changes are returned; negative for the complete list
+	holdMS int64 // how long to wait for a change, in milliseconds; zero means not to wait
 }
 
-// errBadQuery says that a query is invalid.
+// errBadQuery reports a parameter that is not a number or is out of range.
 var errBadQuery = errors.New("bad query")
 
+// decodeQuery decodes the parameters from and hold_ms. Without from it returns a query for the complete list.
 func decodeQuery(q url.Values) (w watchQuery, err error) {
 	w.from = completeList
 	if !q.Has("from") {
@@ -38,7 +39,7 @@
 	return w, nil
 }
 
-// ServeHTTP answers GET /discovery/hosts, and the watch on it.
+// ServeHTTP answers GET /discovery/hosts, both queries for the complete list and watches.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/discovery/hosts" {
 		http.NotFound(w, r)
@@ -61,7 +62,8 @@
 	d.watch(w, r, q)
 }
 
-// watch answers once there is a change after the query's revision, or else when its time is over, with no changes.
+// watch answers a query for the complete list at once. It answers a watch as soon as there is a change after the query's
+// revision, or with an empty list of changes once the query's hold time has passed.
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, q watchQuery) {
 	end := time.NewTimer(time.Duration(q.holdMS) * time.Millisecond)
 	defer end.Stop()
@@ -91,7 +93,7 @@
 	}
 }
 
-// write answers with a list, and reports it to onWritten unless the caller has closed the connection.
+// write answers with a list and then passes it to onWritten, unless the caller has closed the connection.
 func (d *Discovery) write(w http.ResponseWriter, r *http.Request, list List) {
 	data, err := json.Marshal(list)
 	if err != nil {
--- a/internal/testbed/fake/watch_test.go
+++ b/internal/testbed/fake/watch_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// TestDecodeQuery checks that parameters which are not numbers or are out of range are rejected.
 func TestDecodeQuery(t *testing.T) {
 	for _, c := range []struct {
 		query string
@@ -22,11 +23,11 @@
 	} {
 		values, err := url.ParseQuery(c.query)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse query %q: %v", c.query, err)
 		}
 		got, err := decodeQuery(values)
 		if (err != nil) != c.bad || err == nil && got != c.want {
-			t.Errorf("query %q is decoded as %+v, error %v; want %+v, error %t", c.query, got, err, c.want, c.bad)
+			t.Errorf("decodeQuery(%q) = %+v, %v, want %+v, error %t", c.query, got, err, c.want, c.bad)
 		}
 	}
 }
