--- a/internal/testbed/experiment/soak/clock.go
+++ b/internal/testbed/experiment/soak/clock.go
@@ -9,13 +9,13 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// clockEnv gives a process its clockSkew, as three durations.
+// clockEnv is the environment variable that contains a process's clockSkew as three durations.
 const clockEnv = "CROFTLOCK_SOAK_CLOCK"
 
-// clockOffsets are the offsets that clocks are drawn from.
+// clockOffsets are the possible offsets of a wall clock. Zero occurs twice, so that every third clock is right.
 var clockOffsets = []time.Duration{0, 0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
 
-// randomClockSkew draws a process's clockSkew, as its environment has it.
+// randomClockSkew returns a random clockSkew in the form of an environment variable.
 func (f *Fleet) randomClockSkew() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,14 +25,14 @@
 	return fmt.Sprintf("%s=%v %v %v", clockEnv, before, setAfter, after)
 }
 
-// clockSkew is by how much a process's wall clock is off.
+// clockSkew describes the offset of a process's wall clock from the machine's.
 type clockSkew struct {
 	before   time.Duration // offset until the clock is set
 	setAfter time.Duration // from the start until the clock is set
 	after    time.Duration // offset from then on
 }
 
-// decodeClockSkew decodes the value of clockEnv; nil: there is none.
+// decodeClockSkew decodes the value of clockEnv. It returns nil if the value does not consist of three words.
 func decodeClockSkew(value string) (*clockSkew, error) {
 	words := strings.Fields(value)
 	if len(words) != 3 {
@@ -42,13 +42,14 @@
 	for i, d := range []*time.Duration{&skew.before, &skew.setAfter, &skew.after} {
 		var err error
 		if *d, err = time.ParseDuration(words[i]); err != nil {
-			return nil, fmt.Errorf("%s %q %w", clockEnv, words[i], err)
+			return nil, fmt.Errorf("%s: invalid duration %q: %w", clockEnv, words[i], err)
 		}
 	}
 	return &skew, nil
 }
 
-// SkewClock sets this process's wall clock off as clockEnv says; without one it does nothing. Call it first in main.
+// SkewClock changes this process's wall clock by the offsets that clockEnv specifies. It does nothing if clockEnv is not set. Call
+// it at the start of main.
 func SkewClock() {
 	skew, err := decodeClockSkew(os.Getenv(clockEnv))
 	if err != nil {
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -12,50 +12,52 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// MaxCountedDeadline bounds a class's deadline as it counts for the time between SIGTERM and SIGKILL.
+// MaxCountedDeadline is the part of the longest deadline that counts at most for the time between SIGTERM and SIGKILL.
 const MaxCountedDeadline = 3 * time.Second
 
-// KillAfter is the earliest moment after SIGTERM at which a process may get SIGKILL.
+// KillAfter returns the shortest time after SIGTERM at which the platform may send SIGKILL to a proxy process. longest is the
+// longest deadline of the proxy's classes.
 func KillAfter(longest time.Duration) time.Duration {
 	return min(longest, MaxCountedDeadline) + 700*time.Millisecond
 }
 
-// Options are a play's size and faults.
+// Options configures a run.
 type Options struct {
-	Seed            uint64
+	Seed            uint64 // of all random choices
 	Proxies         int
 	Hosts           int
-	Length          time.Duration
-	Rate            float64 // requests a second at each proxy
-	FaultCount      int     // drawn over the whole time
-	FailSystemCalls bool    // system calls fail too
-	SkewClocks      bool    // the system's clock is set while processes run and between them; the program must call SkewClock
-	LogDir          string  // a folder for the processes' logs at debug level; "": none
+	Length          time.Duration // time in which clients connect and faults start
+	Rate            float64       // requests per second at each proxy
+	FaultCount      int           // faults, at random times during Length
+	FailSystemCalls bool          // makes system calls of the proxies fail; the program must call ExecBehindShim
+	SkewClocks      bool          // sets each process's wall clock off, and to another offset while it runs; the program must call SkewClock
+	LogDir          string        // directory for the processes' logs at debug level; if empty, no logs are saved
 }
 
-// Fleet is the proxies of one play with their hosts, discoveries and clients.
+// Fleet contains the proxies of one run with their hosts, discovery services and clients.
 type Fleet struct {
 	options     Options
 	env         *experiment.Env
-	deadlineRNG *rand.Rand // draws the deadlines
-	clockRNG    *rand.Rand // draws the clocks' offsets; protected by mu
+	deadlineRNG *rand.Rand // for the classes' deadlines and windows
+	clockRNG    *rand.Rand // for the clocks' offsets; protected by mu
 	record      *Record
 	classes     []experiment.Class
-	shims       []*Shim // by proxy; none: no system calls fail
+	shims       []*Shim // by proxy number; empty if no system calls fail
 	nodes       []*Node
 	stallMeter  *stallMeter
-	workers     sync.WaitGroup // clients and faults
+	workers     sync.WaitGroup // goroutines of clients, faults and shims
 
-	mu       sync.Mutex // protects what follows
+	mu       sync.Mutex // protects the fields below and clockRNG
 	hosts    []*Host
 	requests []*clientRequest
-	errors   []error // of the play itself
+	errors   []error // of the run itself
 }
 
-// fleetCount counts this process's fleets: each has addresses of its own.
+// fleetCount is the number of fleets made by this process. It gives each fleet addresses of its own.
 var fleetCount int
 
-// NewFleet starts hosts, discoveries and proxies, all at addresses that no other process uses.
+// NewFleet starts hosts, discovery services and proxies. Hosts and proxies listen at addresses that no other process uses. If a
+// proxy does not start, NewFleet returns the fleet with the error, and the caller must close it.
 func NewFleet(env *experiment.Env, opt Options) (*Fleet, error) {
 	fleetCount++
 	f := &Fleet{options: opt, env: env, record: NewRecord(), stallMeter: newStallMeter(),
@@ -76,7 +78,7 @@
 	return f, nil
 }
 
-// randomClasses draws the three classes' deadlines; the first is the longest.
+// randomClasses returns three classes with random deadlines. The first class has the longest deadline.
 func randomClasses(rng *rand.Rand) []experiment.Class {
 	const ms = time.Millisecond
 	longest := []time.Duration{400 * ms, 1000 * ms, 2000 * ms, 3000 * ms, 4800 * ms, 9000 * ms}[rng.IntN(6)]
@@ -87,24 +89,24 @@
 	}
 }
 
-// zoneOf is the zone of host i: the hosts are spread over three.
+// zoneOf returns the zone of host i. The hosts are spread over three zones.
 func zoneOf(i int) string { return []string{"a", "b", "c"}[i%3] }
 
-// The kinds of addresses: each has a range of its own.
+// The kinds of addresses. Each kind has its own range.
 const (
 	proxyAddress = 1
 	hostAddress  = 2
 )
 
-// address is a loopback address that only this play uses.
+// address returns the loopback address of the proxy or host i, which only this fleet uses.
 func (f *Fleet) address(kind, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", experiment.ProcessNetwork(), fleetCount%100, kind*80+i%80, experiment.ProcessPort()+i/80)
 }
 
-// longestDeadline is the longest of all classes.
+// longestDeadline returns the longest deadline of all classes.
 func (f *Fleet) longestDeadline() time.Duration { return f.classes[0].Deadline }
 
-// addNode adds proxy i with its discoveries, and starts it.
+// addNode adds proxy i with its two discovery services and starts it.
 func (f *Fleet) addNode(i int) error {
 	n := &Node{number: i, fleet: f, suspending: map[string]bool{}}
 	for k := range n.discovery {
@@ -134,7 +136,7 @@
 	return n.start()
 }
 
-// newDiscovery starts a proxy's discovery k, which records each list that it writes to the proxy.
+// newDiscovery starts discovery service k of a proxy. Each list that it writes to the proxy is recorded.
 func (f *Fleet) newDiscovery(n *Node, k int) (*fake.Discovery, error) {
 	d, err := fake.NewDiscovery()
 	if err != nil {
@@ -152,7 +154,7 @@
 	return d, nil
 }
 
-// launch starts a proxy's process, behind its shim where it has one.
+// launch starts a process of a proxy. If system calls are to fail, it starts the process behind the proxy's shim.
 func (f *Fleet) launch(s experiment.Setup, number int) (*experiment.Process, error) {
 	if f.options.SkewClocks {
 		s.Env = append(s.Env[:len(s.Env):len(s.Env)], f.randomClockSkew())
@@ -163,14 +165,14 @@
 	return f.shims[number].Launch(f.env, s)
 }
 
-// Hosts are all hosts of the play.
+// Hosts returns all hosts of the fleet.
 func (f *Fleet) Hosts() []*Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Host(nil), f.hosts...)
 }
 
-// setState changes a host's state in the lists of all discoveries.
+// setState sets a host's state in the lists of all discovery services.
 func (f *Fleet) setState(h *Host, state string) {
 	for _, n := range f.nodes {
 		for _, d := range n.discovery {
@@ -179,7 +181,7 @@
 	}
 }
 
-// recordError records an error of the play itself, if there is one.
+// recordError records an error of the run itself. It ignores nil.
 func (f *Fleet) recordError(err error) {
 	if err != nil {
 		f.mu.Lock()
@@ -188,7 +190,7 @@
 	}
 }
 
-// Close ends all processes and fakes.
+// Close kills all processes and stops all fakes.
 func (f *Fleet) Close() {
 	for _, n := range f.nodes {
 		for _, process := range n.processes {
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -9,33 +9,34 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Node is one proxy: its processes, one after the other, at one address.
+// Node is one proxy. Its processes succeed each other at one address; during a hot restart two of them run.
 type Node struct {
 	number          int
 	fleet           *Fleet
 	setup           experiment.Setup
-	discovery       [2]*fake.Discovery // the configuration names one; a reconfiguration changes to the other
-	activeDiscovery int                // index of the one that the configuration names
+	discovery       [2]*fake.Discovery // a reconfiguration switches from one to the other
+	activeDiscovery int                // index of the discovery service in the configuration
 
-	mu          sync.Mutex
-	current     *proxyProcess
-	processes   []*proxyProcess
-	suspensions []*suspension
+	mu          sync.Mutex      // protects the fields below
+	current     *proxyProcess   // see Current
+	processes   []*proxyProcess // all that were started, in order
+	suspensions []*suspension   // by operators, in order
 
-	knownEntries  map[string]fake.Entry // as last written to the proxy, by the host's ID
-	knownRevision int64
-	suspending    map[string]bool // hosts between an operator's suspension and its end
-	claimed       bool            // a fault that starts or ends a process is in progress
+	knownEntries  map[string]fake.Entry // as last written to the proxy, by host ID
+	knownRevision int64                 // of the list last written to the proxy
+	suspending    map[string]bool       // hosts that an operator is about to suspend, has suspended or is resuming
+	claimed       bool                  // whether a fault that starts, ends or reconfigures a process is in progress
 }
 
-// Current is the process that was started last and got ready; nil: none yet.
+// Current returns the last process that became ready, which may have ended since, or nil if none has become ready.
 func (n *Node) Current() *proxyProcess {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current
 }
 
-// claim returns whether the caller may start or end the proxy's process: one fault at a time may, until its release.
+// claim reports whether the caller may start, end or reconfigure the proxy's process. One fault at a time may, until it calls
+// release.
 func (n *Node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,7 +52,7 @@
 	n.claimed = false
 }
 
-// start starts a process. Its list is the last that was written to the proxy, and its address its predecessor's.
+// start starts a process at the proxy's address, with the endpoint list that was last written to the proxy.
 func (n *Node) start() error {
 	setup := n.setup
 	setup.Discovery, setup.InitialList = n.discovery[n.activeDiscovery].Addr(), n.lastKnownList()
@@ -65,7 +66,7 @@
 	process := &proxyProcess{node: n, admin: setup.Admin, name: fmt.Sprintf("n%d.%d", n.number, len(n.processes)), startedAt: time.Now()}
 	n.recordList([]*proxyProcess{process}, setup.InitialList, "its configuration")
 	n.mu.Lock()
-	n.processes = append(n.processes, process) // before it is ready: lists are written to it from its first call on
+	n.processes = append(n.processes, process) // before it is ready, since discovery may write lists to it from its first call on
 	n.mu.Unlock()
 	var err error
 	if process.proc, err = n.fleet.launch(setup, n.number); err != nil {
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// mergeList merges a list that was written to the proxy into what it holds.
+// mergeList updates the proxy's known entries by a list that was written to it.
 func (n *Node) mergeList(list fake.List) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// lastKnownList is the list as it was last written to the proxy, which may be outdated.
+// lastKnownList returns the complete list as last written to the proxy. It may be outdated.
 func (n *Node) lastKnownList() fake.List {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -108,7 +109,7 @@
 	return list
 }
 
-// running are the proxy's processes that have not ended: two during a hot restart. They are one proxy: a list written to one counts as
+// running returns the proxy's processes that have not ended, two during a hot restart. A list written to one of them counts as
 // written to both.
 func (n *Node) running() (processes []*proxyProcess) {
 	n.mu.Lock()
@@ -121,14 +122,14 @@
 	return processes
 }
 
-// recordList records, for each of the processes, a list that was written to the proxy.
+// recordList records a list that was written to the proxy for each of the processes.
 func (n *Node) recordList(processes []*proxyProcess, list fake.List, source string) {
 	for _, process := range processes {
 		n.recordListFor(process, list, source)
 	}
 }
 
-// recordListFor records a list for one process; a host that is missing from a complete list is removed.
+// recordListFor records the hosts' states in a list for one process. A host that is missing from a complete list is removed.
 func (n *Node) recordListFor(process *proxyProcess, list fake.List, source string) {
 	writtenAt, named := time.Now(), map[string]bool{}
 	for _, entry := range list.Targets {
--- a/internal/testbed/experiment/soak/process.go
+++ b/internal/testbed/experiment/soak/process.go
@@ -15,21 +15,21 @@
 type proxyProcess struct {
 	name      string
 	node      *Node
-	admin     string // where operators call
+	admin     string // address of the admin interface
 	proc      *experiment.Process
 	startedAt time.Time
 
-	mu                 sync.Mutex
-	stoppedAt          time.Time // SIGTERM; zero: none
-	killedAt           time.Time // SIGKILL as a fault; zero: none
-	endedAt            time.Time // zero: it runs
-	killedAfterTimeout bool      // SIGKILL, since it did not end in time after SIGTERM
-	err                error
-	pausedTotal        time.Duration // by SIGSTOP
-	successor          *proxyProcess // that took over by a hot restart; nil: none
+	mu                 sync.Mutex    // protects the fields below
+	stoppedAt          time.Time     // when it was sent SIGTERM; zero if it was not
+	killedAt           time.Time     // when a fault sent it SIGKILL; zero if none did
+	endedAt            time.Time     // zero while it runs
+	killedAfterTimeout bool          // whether it was sent SIGKILL because it did not end in time after SIGTERM
+	err                error         // exit status, once it has ended
+	pausedTotal        time.Duration // total of its pauses by SIGSTOP
+	successor          *proxyProcess // process that took over by a hot restart; nil if none did
 }
 
-// latestSuccessor is the last in the chain of hot restarts that begins here.
+// latestSuccessor returns the last process in the chain of hot restarts that begins with p, or p if none took over from it.
 func (p *proxyProcess) latestSuccessor() *proxyProcess {
 	p.mu.Lock()
 	next := p.successor
@@ -40,12 +40,12 @@
 	return next.latestSuccessor()
 }
 
-// secondsSinceStart is a moment in seconds since this process's start.
+// secondsSinceStart formats the time from the process's start to t in seconds.
 func (p *proxyProcess) secondsSinceStart(t time.Time) string {
 	return fmt.Sprintf("%.3f", t.Sub(p.startedAt).Seconds())
 }
 
-// String names the process with the times of its signals and its end.
+// String returns the process's name with the times of its signals and its end, in seconds since its start.
 func (p *proxyProcess) String() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,17 +65,17 @@
 	return b.String()
 }
 
-// totalPause is the sum of its pauses.
+// totalPause returns the total time for which the process was paused.
 func (p *proxyProcess) totalPause() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pausedTotal
 }
 
-// wasKilled returns whether a fault killed it, or one of its successors.
+// wasKilled reports whether a fault killed the process or one of its successors.
 func (p *proxyProcess) wasKilled() bool { return p.wasKilledBefore(time.Now()) }
 
-// wasKilledBefore returns whether that had happened by a moment.
+// wasKilledBefore reports whether a fault killed the process or one of its successors before t.
 func (p *proxyProcess) wasKilledBefore(t time.Time) bool {
 	p.mu.Lock()
 	killed, next := !p.killedAt.IsZero() && p.killedAt.Before(t), p.successor
@@ -83,28 +83,28 @@
 	return killed || next != nil && next.wasKilledBefore(t)
 }
 
-// hasEnded returns whether the process has ended.
+// hasEnded reports whether the process has ended.
 func (p *proxyProcess) hasEnded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.endedAt.IsZero()
 }
 
-// isStopping returns whether it was sent SIGTERM or SIGKILL.
+// isStopping reports whether the process was sent SIGTERM, or SIGKILL by a fault.
 func (p *proxyProcess) isStopping() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.stoppedAt.IsZero() || !p.killedAt.IsZero()
 }
 
-// exitError is its exit status, once it has ended.
+// exitError reports whether the process has ended, and returns its exit status, which is nil for success.
 func (p *proxyProcess) exitError() (err error, ended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err, !p.endedAt.IsZero()
 }
 
-// recordEnd records the end of the process.
+// recordEnd records that the process has ended, and whether it had to be killed after SIGTERM.
 func (p *proxyProcess) recordEnd(killedAfterTimeout bool) {
 	err := p.proc.Err()
 	p.mu.Lock()
@@ -112,7 +112,7 @@
 	p.endedAt, p.killedAfterTimeout, p.err = time.Now(), killedAfterTimeout, err
 }
 
-// kill ends it by SIGKILL, as a crash does.
+// kill ends the process by SIGKILL, like a crash.
 func (p *proxyProcess) kill() {
 	p.mu.Lock()
 	p.killedAt = time.Now()
@@ -121,7 +121,8 @@
 	p.recordEnd(false)
 }
 
-// stop sends SIGTERM and, as early as the platform may, SIGKILL; slack is added for stalls of this machine.
+// stop sends SIGTERM and waits for the process's end. After KillAfter, the earliest time at which the platform may do so, it
+// sends SIGKILL; slack extends this time by the stalls of the machine.
 func (p *proxyProcess) stop(longest, slack time.Duration) {
 	p.mu.Lock()
 	p.stoppedAt = time.Now()
@@ -136,7 +137,7 @@
 	}
 }
 
-// pause stops it for a while.
+// pause stops the process by SIGSTOP for d.
 func (p *proxyProcess) pause(d time.Duration) {
 	p.mu.Lock()
 	p.pausedTotal += d
@@ -146,7 +147,7 @@
 	p.proc.Signal(syscall.SIGCONT)
 }
 
-// rewriteConfig changes one value in the process's configuration file.
+// rewriteConfig sets the string value of name in the process's configuration file.
 func (p *proxyProcess) rewriteConfig(name, value string) error {
 	path := p.proc.ConfigPath()
 	data, err := os.ReadFile(path)
@@ -157,7 +158,7 @@
 	return os.WriteFile(path, []byte(strings.Replace(string(data), old, fmt.Sprintf("%q:%q", name, value), 1)), 0o600)
 }
 
-// between is the text after the first from, up to the next to.
+// between returns the text between the first from in s and the next to.
 func between(s, from, to string) string {
 	_, rest, _ := strings.Cut(s, from)
 	value, _, _ := strings.Cut(rest, to)
--- a/internal/testbed/experiment/soak/record.go
+++ b/internal/testbed/experiment/soak/record.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// Record is what the hosts received of each request, and the endpoint lists that each process was sent.
+// Record contains the attempts that hosts received and the hosts' states in the lists that each process was sent. Its methods are
+// safe for concurrent use.
 type Record struct {
-	mu       sync.Mutex
-	attempts map[string][]*hostAttempt   // by the request's ID, in the order of their arrival
-	notices  map[noticeKey][]stateNotice // in the order of the lists
+	mu       sync.Mutex                  // protects the fields below
+	attempts map[string][]*hostAttempt   // by request ID, in order of arrival
+	notices  map[noticeKey][]stateNotice // in the order in which the lists were written
 }
 
 // stateNotice is a host's state in a list that was written to a process.
 type stateNotice struct {
 	writtenAt time.Time
 	state     string
-	source    string // of the list
+	source    string // describes the origin of the list, for violations
 }
 
-// noticeKey is a host as one process of a proxy sees it.
+// noticeKey identifies a host in the lists that one process was sent.
 type noticeKey struct {
 	process *proxyProcess
 	host    string
 }
 
-// NewRecord makes an empty record.
+// NewRecord returns an empty record.
 func NewRecord() *Record {
 	return &Record{attempts: map[string][]*hostAttempt{}, notices: map[noticeKey][]stateNotice{}}
 }
 
-// connectionSide is one end of a connection between proxy and host.
+// connectionSide is one side of a connection between a proxy and a host.
 type connectionSide string
 
 const (
@@ -38,23 +39,23 @@
 	proxySide connectionSide = "proxy"
 )
 
-// hostAttempt is one attempt as its host received it, with the request line complete.
+// hostAttempt is one attempt whose complete request line a host received.
 type hostAttempt struct {
 	requestID, host string
 	receivedAt      time.Time
 
-	mu    sync.Mutex
+	mu    sync.Mutex // protects state
 	state attemptState
 }
 
-// attemptState is what has become of an attempt so far.
+// attemptState is the progress of an attempt so far.
 type attemptState struct {
-	answer  Answer         // of the host
-	endedBy connectionSide // "": it has not ended
+	answer  Answer         // the host's answer; Unanswered if there is none yet
+	endedBy connectionSide // empty if the attempt has not ended
 	endedAt time.Time
 }
 
-// recordAttempt adds an attempt that a host received.
+// recordAttempt adds an attempt that a host receives now.
 func (r *Record) recordAttempt(requestID, host string) *hostAttempt {
 	a := &hostAttempt{requestID: requestID, host: host, receivedAt: time.Now()}
 	r.mu.Lock()
@@ -63,14 +64,14 @@
 	return a
 }
 
-// attemptsOf returns the attempts of one request, in the order of their arrival.
+// attemptsOf returns the attempts of one request in order of arrival.
 func (r *Record) attemptsOf(requestID string) []*hostAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*hostAttempt(nil), r.attempts[requestID]...)
 }
 
-// recordNotice records that a list with a host's state was written to a process. Only a change of state is kept.
+// recordNotice records that a list with a host's state was written to a process. It stores only changes of the state.
 func (r *Record) recordNotice(process *proxyProcess, host string, notice stateNotice) {
 	key := noticeKey{process, host}
 	r.mu.Lock()
@@ -80,7 +81,8 @@
 	}
 }
 
-// excludedSince returns the notice since which a process must not use a host, if the host was draining or removed for it at a moment.
+// excludedSince reports whether a host was draining or removed in the lists that a process had been sent before at. If so, it
+// returns the first notice that excluded the host.
 func (r *Record) excludedSince(process *proxyProcess, host string, at time.Time) (since stateNotice, excluded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,19 +99,19 @@
 	return since, excluded
 }
 
-// recordAnswer records the host's answer.
+// recordAnswer records the host's answer to the attempt.
 func (a *hostAttempt) recordAnswer(answer Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.state.answer = answer
 }
 
-// served returns whether the host accepted the request.
+// served reports whether the host accepted the request.
 func (a *hostAttempt) served() bool {
 	return a.current().answer == Served
 }
 
-// recordEnd records the attempt's end; the first end counts.
+// recordEnd records which side ended the attempt now. Only the first call has an effect.
 func (a *hostAttempt) recordEnd(by connectionSide) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testbed/experiment/soak/run.go
+++ b/internal/testbed/experiment/soak/run.go
@@ -13,30 +13,30 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// Result is the outcome of one play.
+// Result is the outcome of one run.
 type Result struct {
 	Seed               uint64
 	LongestDeadline    time.Duration
-	Processes          int // processes of all proxies
+	Processes          int // processes started, of all proxies
 	Requests           int
 	Answers            map[Answer]int
 	Ends               map[End]int
-	Stopped            int           // processes that got SIGTERM
-	KilledAfterTimeout int           // of these, those that needed SIGKILL
-	FailedCalls        int           // injected failures of system calls
-	LongestStall       time.Duration // the longest time for which this machine did not run this process
+	Stopped            int           // processes that were sent SIGTERM
+	KilledAfterTimeout int           // of these, processes that did not end in time and were sent SIGKILL
+	FailedCalls        int           // system calls that the shims made fail
+	LongestStall       time.Duration // longest time for which the machine did not run this process
 	Violations         []Violation
-	Errors             []error
-	Faults             []string // with the time of each
+	Errors             []error  // of the run itself, such as a process that did not start
+	Faults             []string // injected faults with their times, sorted
 }
 
-// String is one line of name=value.
+// String returns one line of name=value pairs.
 func (r *Result) String() string {
 	return fmt.Sprintf("seed=%d longest=%v processes=%d requests=%d answers=%v ends=%v stopped=%d forced=%d failed_calls=%d stall=%v violations=%d errors=%d",
 		r.Seed, r.LongestDeadline, r.Processes, r.Requests, r.Answers, r.Ends, r.Stopped, r.KilledAfterTimeout, r.FailedCalls, r.LongestStall.Round(time.Millisecond), len(r.Violations), len(r.Errors))
 }
 
-// Run runs a fleet under overlapping faults and checks the rules. An error says that the fleet did not start.
+// Run runs a fleet under overlapping faults and checks the rules. It returns an error only if the fleet does not start.
 func Run(env *experiment.Env, opt Options) (*Result, error) {
 	f, err := NewFleet(env, opt)
 	if f != nil {
@@ -52,7 +52,7 @@
 	return r, nil
 }
 
-// runWorkload runs clients and faults for the play's time, and waits for their end.
+// runWorkload runs clients and faults for the length of the run and waits until they have ended.
 func (f *Fleet) runWorkload(r *Result) {
 	var mu sync.Mutex
 	recordFault := func(fault string) {
@@ -76,7 +76,7 @@
 	f.workers.Wait()
 }
 
-// stopAll shuts all processes down, at the same time.
+// stopAll shuts down the current processes of all proxies at the same time.
 func (f *Fleet) stopAll() {
 	var stops sync.WaitGroup
 	for _, n := range f.nodes {
@@ -89,10 +89,10 @@
 		}
 	}
 	stops.Wait()
-	time.Sleep(answerGrace) // until lines that the processes have written arrive
+	time.Sleep(answerGrace) // for lines that the processes have written and that have not arrived yet
 }
 
-// saveLogs saves each process's log, and the faults that were played.
+// saveLogs writes each process's log and the injected faults to a directory of this seed under LogDir.
 func (f *Fleet) saveLogs(r *Result) error {
 	dir := filepath.Join(f.options.LogDir, fmt.Sprint("seed", r.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -115,7 +115,7 @@
 	return write("faults", r.Faults)
 }
 
-// check has the oracle check all requests and processes, and adds up the result.
+// check lets the oracle check all requests and processes and fills in the result.
 func (f *Fleet) check(r *Result) {
 	r.LongestStall = f.stallMeter.longestStall()
 	o := &oracle{record: f.record, slack: r.LongestStall}
@@ -130,7 +130,7 @@
 	}
 	for _, n := range f.nodes {
 		for _, process := range n.processes {
-			if process.proc != nil { // a failed start is among the errors
+			if process.proc != nil { // nil if the process did not start, which is among f.errors
 				r.countProcess(process)
 				o.checkProcess(process)
 			}
@@ -146,7 +146,7 @@
 	r.Requests, r.Violations, r.Errors = len(requests), o.violations, errs
 }
 
-// countProcess adds a process that was started.
+// countProcess adds a started process to the result's counts.
 func (r *Result) countProcess(p *proxyProcess) {
 	r.Processes++
 	if !p.stoppedAt.IsZero() {
--- a/internal/testbed/experiment/soak/stallmeter.go
+++ b/internal/testbed/experiment/soak/stallmeter.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// stallMeter measures the longest time for which this machine does not run this process.
+// stallMeter measures the longest time for which the machine does not run this process.
 type stallMeter struct {
-	mu      sync.Mutex
-	longest time.Duration
-	end     chan struct{}
+	mu      sync.Mutex    // protects longest
+	longest time.Duration // stall so far
+	end     chan struct{} // closed by stop
 }
 
-// newStallMeter starts measuring, until stop.
+// newStallMeter returns a meter that measures until its stop method is called.
 func newStallMeter() *stallMeter {
 	m := &stallMeter{end: make(chan struct{})}
 	go func() {
@@ -32,7 +32,7 @@
 	return m
 }
 
-// longestStall is the longest stall so far.
+// longestStall returns the longest stall so far.
 func (m *stallMeter) longestStall() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
