--- a/internal/testbed/experiment/soak/clientconnection.go
+++ b/internal/testbed/experiment/soak/clientconnection.go
@@ -1,5 +1,6 @@
-// Package soak runs many proxy processes on loopback while faults overlap, and checks the rules from outside: by the answers that clients
-// got and the attempts that hosts received. It knows nothing of the program but its protocol and its exit.
+// Package soak runs many proxy processes on loopback under overlapping faults. It checks rules from
+// outside, by the answers that clients get and the attempts that hosts receive. Of the program it
+// uses only the protocol, the log and the exit status.
 package soak
 
 import (
@@ -16,7 +17,7 @@
 // Answer is the first word of the proxy's answer to a request.
 type Answer string
 
-// The answers that a request can get.
+// The possible answers to a request.
 const (
 	Unanswered Answer = ""
 	Served     Answer = "UP"
@@ -24,52 +25,52 @@
 	Failed     Answer = "ERR"
 )
 
-// End is how a client's connection ended.
+// End specifies how a client's connection ended.
 type End string
 
-// The ends that a connection can have.
+// The possible ends of a connection.
 const (
-	Open         End = ""      // it has not ended
-	Migrated     End = "MOVE"  // the proxy has its client migrate
-	Finished     End = "BYE"   // its host served it to its end
-	Closed       End = "close" // closed by the proxy without a line
-	Reset        End = "reset"
-	ClientClosed End = "client_close"
+	Open         End = ""             // the connection has not ended
+	Migrated     End = "MOVE"         // the client was migrated
+	Finished     End = "BYE"          // its host ended it with BYE
+	Closed       End = "close"        // closed by the proxy without a line
+	Reset        End = "reset"        // reset by the proxy
+	ClientClosed End = "client_close" // closed by the client
 )
 
 // Outcome is the state of a client's connection so far.
 type Outcome struct {
-	Sent             time.Time // when the request was complete; zero: never
+	Sent             time.Time // when the request line was complete; zero if it was not sent
 	Answer           Answer
-	AnsweredAt       time.Time
+	AnsweredAt       time.Time // zero if there is no answer
 	End              End
-	EndedAt          time.Time
-	Lines            int           // lines that were answered
-	LongestRoundTrip time.Duration // from a line to its answer
+	EndedAt          time.Time     // zero while the connection is open
+	Lines            int           // number of answered lines after the request
+	LongestRoundTrip time.Duration // longest time from sending a line to its answer
 }
 
 // Request is a client's request.
 type Request struct {
 	Class       string
 	Timeout     time.Duration // how long the client waits for the answer
-	ExtraFields string        // further values of the request line, such as "again=1"
-	Interval    time.Duration // between lines once the request is served; 0: none are sent
+	ExtraFields string        // further fields of the request line, such as "again=1"; may be empty
+	Interval    time.Duration // between lines that the client sends once it is served; zero means that it sends none
 }
 
-// ClientConnection is a client's connection to a proxy, from its request to its end. Its methods may be called from any goroutine.
+// ClientConnection is a client's connection to a proxy. Its methods are safe for concurrent use.
 type ClientConnection struct {
-	ID               string // of the request
+	ID               string // request ID
 	Request          Request
-	SplitRequestLine bool // the request line is sent in two parts
+	SplitRequestLine bool // whether SendRequest sends the request line in two parts
 	conn             net.Conn
 	ended            chan struct{}
 
-	mu              sync.Mutex
+	mu              sync.Mutex // protects the fields below
 	outcome         Outcome
-	unansweredLines []time.Time // lines without an answer yet
+	unansweredLines []time.Time // when the lines without an answer were sent, oldest first
 }
 
-// Dial connects to a proxy, without sending the request.
+// Dial connects to a proxy. The caller sends the request with SendRequest.
 func Dial(proxy string, request Request) (*ClientConnection, error) {
 	conn, err := net.DialTimeout("tcp", proxy, 2*time.Second)
 	if err != nil {
@@ -89,10 +90,10 @@
 	return c, c.SendRequest()
 }
 
-// partDelay keeps the two parts of a request line apart on the wire.
+// partDelay is the time between the two parts of a request line, so that they arrive separately.
 const partDelay = 30 * time.Millisecond
 
-// SendRequest sends the request line.
+// SendRequest sends the request line. If it fails, Outcome().Sent is zero.
 func (c *ClientConnection) SendRequest() error {
 	line := fmt.Sprintf("OPEN %s %s c=%s,d=%d", c.ID, fake.NewID(), c.Request.Class, c.Request.Timeout.Milliseconds())
 	if c.Request.ExtraFields != "" {
@@ -115,7 +116,8 @@
 	return nil
 }
 
-// Outcome is the connection's state so far. A line that waits for its answer counts with the time that it has waited.
+// Outcome returns the connection's state so far. While the connection is open, LongestRoundTrip
+// includes the time for which unanswered lines have waited.
 func (c *ClientConnection) Outcome() Outcome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +130,7 @@
 	return out
 }
 
-// Ended is closed once the connection is over.
+// Ended returns a channel that is closed when the connection has ended.
 func (c *ClientConnection) Ended() <-chan struct{} { return c.ended }
 
 // Close closes the connection from the client's side.
@@ -137,7 +139,7 @@
 	c.conn.Close()
 }
 
-// recordEnd records how the connection ended; the first end counts.
+// recordEnd records how the connection ended. Only the first end is recorded.
 func (c *ClientConnection) recordEnd(end End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +149,8 @@
 	}
 }
 
-// read handles the proxy's lines until the connection ends. A client that is migrated closes its connection.
+// read handles the proxy's lines until the connection ends, and then closes it. It also closes the
+// connection of a client that is migrated.
 func (c *ClientConnection) read() {
 	defer c.conn.Close()
 	in := bufio.NewReaderSize(c.conn, 512)
@@ -163,7 +166,7 @@
 	}
 }
 
-// endOf is the end that a read error stands for.
+// endOf returns the end of a connection that a read error indicates.
 func endOf(err error) End {
 	if strings.Contains(err.Error(), "reset") {
 		return Reset
@@ -171,7 +174,7 @@
 	return Closed
 }
 
-// receive records a line, by its first word, and returns whether more may come.
+// receive handles a line whose first word is word. It reports whether more lines may follow.
 func (c *ClientConnection) receive(word string) bool {
 	c.mu.Lock()
 	if c.outcome.Answer == Unanswered {
@@ -189,7 +192,7 @@
 	defer c.mu.Unlock()
 	switch {
 	case c.outcome.End != Open:
-		return false // the client has closed it meanwhile
+		return false // the client has closed the connection
 	case word == string(Migrated) || word == string(Finished):
 		c.outcome.End, c.outcome.EndedAt = End(word), time.Now()
 		close(c.ended)
@@ -202,7 +205,7 @@
 	return true
 }
 
-// sendLines sends a line each interval, without waiting for answers, until the connection ends.
+// sendLines sends a line at each interval until the connection ends. It does not wait for answers.
 func (c *ClientConnection) sendLines() {
 	ticker := time.NewTicker(c.Request.Interval)
 	defer ticker.Stop()
@@ -215,7 +218,7 @@
 			c.unansweredLines = append(c.unansweredLines, time.Now())
 			c.mu.Unlock()
 			if _, err := fmt.Fprint(c.conn, "M "+c.ID+"\r\n"); err != nil {
-				return // read records how it ended
+				return // read records how the connection ended
 			}
 		}
 	}
--- a/internal/testbed/experiment/soak/clients.go
+++ b/internal/testbed/experiment/soak/clients.go
@@ -8,14 +8,15 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// runClients starts clients of a proxy at the rate, without waiting for the earlier ones, until the given time.
+// runClients starts clients of a proxy until the given time, at random intervals that average to
+// options.Rate. It does not wait for earlier clients to end.
 func (f *Fleet) runClients(n *Node, until time.Time, rng *rand.Rand) {
 	defer f.workers.Done()
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(rng.ExpFloat64() / f.options.Rate * 1e9))
 		process := n.Current()
 		if process == nil || process.stoppedLongerThan(frontNoticeDelay) {
-			continue // the front sends no clients there
+			continue // the platform's front sends no clients to this process
 		}
 		f.workers.Add(1)
 		kind, seed := clientKind(rng.IntN(clientKindRange)), rng.Uint64()
@@ -26,29 +27,32 @@
 	}
 }
 
-// frontNoticeDelay is how long after its SIGTERM the front still sends a process new connections.
+// frontNoticeDelay is how long the platform's front continues to send new connections to a process
+// after SIGTERM.
 const frontNoticeDelay = 350 * time.Millisecond
 
-// stoppedLongerThan returns whether the process got SIGTERM longer ago than d, or has ended.
+// stoppedLongerThan reports whether the process was sent SIGTERM more than d ago, was killed by a
+// fault, or has ended.
 func (p *proxyProcess) stoppedLongerThan(d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.stoppedAt.IsZero() && time.Since(p.stoppedAt) > d || !p.killedAt.IsZero() || !p.endedAt.IsZero()
 }
 
-// clientKind is how a client behaves.
+// clientKind specifies the fault of a client.
 type clientKind int
 
-// The kinds, each with one chance in clientKindRange; the other clients have none of these faults.
+// The kinds of faulty clients. The kind is a random number below clientKindRange, and all other
+// numbers mean a client without a fault.
 const (
 	malformedClient clientKind = iota // sends no valid request
-	delayedClient                     // waits before its request
+	delayedClient                     // waits before it sends its request
 	piecewiseClient                   // sends its request line in two parts
-	impatientClient                   // closes its connection early
+	impatientClient                   // closes its connection before its request's timeout
 	clientKindRange = 20
 )
 
-// runClient plays one client.
+// runClient runs one client until its connection ends. It records the request if it was sent.
 func (f *Fleet) runClient(process *proxyProcess, kind clientKind, rng *rand.Rand) {
 	class := f.classes[rng.IntN(len(f.classes))]
 	request, proxy := randomRequest(class, rng), process.node.setup.Listen
@@ -58,7 +62,7 @@
 	}
 	c, err := Dial(proxy, request)
 	if err != nil {
-		return // no process accepts there now
+		return // no process accepts connections at the address now
 	}
 	switch kind {
 	case delayedClient:
@@ -84,7 +88,8 @@
 	}
 }
 
-// randomRequest draws a request of a class; one in five has less than the class's deadline left.
+// randomRequest returns a request of a class with a random interval between lines. One in five has
+// a shorter timeout than the class's deadline.
 func randomRequest(class experiment.Class, rng *rand.Rand) Request {
 	wait := class.Deadline
 	if rng.IntN(5) == 0 {
@@ -94,7 +99,8 @@
 	return Request{Class: class.Name, Timeout: wait, Interval: time.Duration(50+rng.IntN(300)) * time.Millisecond}
 }
 
-// sendMalformed sends no valid request: half of a line, then nothing; another protocol; or a long run of zero bytes.
+// sendMalformed sends an invalid request: half of a request line, an HTTP request, or 256 KiB of
+// zero bytes.
 func sendMalformed(addr string, rng *rand.Rand) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
--- a/internal/testbed/experiment/soak/clock.go
+++ b/internal/testbed/experiment/soak/clock.go
@@ -12,7 +12,8 @@
 // clockEnv is the environment variable that contains a process's clockSkew as three durations.
 const clockEnv = "CROFTLOCK_SOAK_CLOCK"
 
-// clockOffsets are the possible offsets of a wall clock. Zero occurs twice, so that every third clock is right.
+// clockOffsets are the possible offsets of a wall clock. Zero occurs twice, so that every third
+// clock is right.
 var clockOffsets = []time.Duration{0, 0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
 
 // randomClockSkew returns a random clockSkew in the form of an environment variable.
@@ -32,7 +33,8 @@
 	after    time.Duration // offset from then on
 }
 
-// decodeClockSkew decodes the value of clockEnv. It returns nil if the value does not consist of three words.
+// decodeClockSkew decodes the value of clockEnv. It returns nil if the value does not consist of
+// three words.
 func decodeClockSkew(value string) (*clockSkew, error) {
 	words := strings.Fields(value)
 	if len(words) != 3 {
@@ -48,8 +50,8 @@
 	return &skew, nil
 }
 
-// SkewClock changes this process's wall clock by the offsets that clockEnv specifies. It does nothing if clockEnv is not set. Call
-// it at the start of main.
+// SkewClock changes this process's wall clock by the offsets that clockEnv specifies. It does
+// nothing if clockEnv is not set. Call it at the start of main.
 func SkewClock() {
 	skew, err := decodeClockSkew(os.Getenv(clockEnv))
 	if err != nil {
--- a/internal/testbed/experiment/soak/command.go
+++ b/internal/testbed/experiment/soak/command.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// Command returns the soak command of croftlock-experiment, which runs several seeds in sequence. It fails if a rule was broken
-// or a run had errors.
+// Command returns the soak command of croftlock-experiment, which runs several seeds in sequence.
+// It fails if a rule was broken or a run had errors.
 func Command() *cobra.Command {
 	var opt Options
 	var seeds uint64
@@ -48,7 +48,8 @@
 	return c
 }
 
-// runOne runs one seed and prints its result. The count of violations includes errors of the run itself.
+// runOne runs one seed and prints its result. The count of violations includes errors of the run
+// itself.
 func runOne(program string, opt Options) (violations int, err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
--- a/internal/testbed/experiment/soak/faults.go
+++ b/internal/testbed/experiment/soak/faults.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
-// faultKind is one kind of fault. play injects it and returns once it is over; several may be in progress at once.
+// faultKind is a kind of fault. inject injects it and returns when the fault is over. Several
+// faults may be in progress at once.
 type faultKind struct {
 	name   string
-	weight int
+	weight int // relative frequency
 	inject func(f *Fleet, rng *rand.Rand)
 }
 
+// faultKinds contains all kinds of faults that injectFaults chooses from.
 var faultKinds = []faultKind{
 	{"stop", 6, func(f *Fleet, rng *rand.Rand) { f.onRandomNode(rng, (*Fleet).stopNode) }},
 	{"stop-while-hosts-hang", 4, func(f *Fleet, rng *rand.Rand) {
@@ -81,7 +83,7 @@
 	{"reconfigure", 4, (*Fleet).reconfigure},
 }
 
-// randomDuration draws a time from least to most milliseconds.
+// randomDuration returns a random duration of at least least and less than most milliseconds.
 func randomDuration(rng *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+rng.IntN(most-least)) * time.Millisecond
 }
@@ -93,7 +95,8 @@
 	return all[rng.IntN(len(all))]
 }
 
-// onRandomNode starts or ends the process of a drawn proxy, unless another fault does.
+// onRandomNode calls do, which starts or ends processes, for a random proxy. It does nothing if
+// another fault has claimed the proxy or the proxy has no process.
 func (f *Fleet) onRandomNode(rng *rand.Rand, do func(f *Fleet, n *Node, rng *rand.Rand) error) {
 	n := f.randomNode(rng)
 	if !n.claim() {
@@ -105,21 +108,22 @@
 	}
 }
 
-// stopNode shuts a process down and starts the next one.
+// stopNode shuts down a proxy's process and starts the next one after a random pause.
 func (f *Fleet) stopNode(n *Node, rng *rand.Rand) error {
 	n.Current().stop(f.longestDeadline(), f.stallMeter.longestStall())
 	time.Sleep(randomDuration(rng, 10, 400))
 	return n.start()
 }
 
-// killNode kills a process and starts the next one.
+// killNode kills a proxy's process and starts the next one after a random pause.
 func (f *Fleet) killNode(n *Node, rng *rand.Rand) error {
 	n.Current().kill()
 	time.Sleep(randomDuration(rng, 10, 1500))
 	return n.start()
 }
 
-// replaceNode is a hot restart: a new process takes over from one that serves, which then shuts down.
+// replaceNode does a hot restart. A new process takes over from the current one, which is then shut
+// down.
 func (f *Fleet) replaceNode(n *Node, rng *rand.Rand) error {
 	old := n.Current()
 	if err := n.start(); err != nil {
@@ -134,7 +138,7 @@
 	return nil
 }
 
-// hangHosts makes some hosts stop answering until undo is called.
+// hangHosts makes up to n random hosts stop answering until undo is called.
 func (f *Fleet) hangHosts(rng *rand.Rand, n int) (undo func()) {
 	var hung []*Host
 	for range n {
@@ -149,7 +153,8 @@
 	}
 }
 
-// drain drains a host, removes it in half of the cases, and lists it again after a new start.
+// drain drains a random host and lists it as up again later. In half of the cases it removes and
+// restarts the host in between.
 func (f *Fleet) drain(rng *rand.Rand) {
 	h := f.randomHost(rng)
 	if !h.claimed.CompareAndSwap(false, true) {
@@ -169,7 +174,8 @@
 	f.setState(h, "up")
 }
 
-// faultDiscoveries sets a fault at one of the two discoveries of some proxies for a while.
+// faultDiscoveries sets a fault at one of the two discovery services of some proxies, for least to
+// most milliseconds.
 func (f *Fleet) faultDiscoveries(rng *rand.Rand, least, most int, set func(n *Node, which int, on bool)) {
 	first, count, which := rng.IntN(len(f.nodes)), 1+rng.IntN(len(f.nodes)), rng.IntN(2)
 	setAll := func(on bool) {
@@ -182,7 +188,8 @@
 	setAll(false)
 }
 
-// reconfigure writes a proxy new configurations, up to three in quick succession, each with the other discovery, and has it reload them.
+// reconfigure switches a random proxy to its other discovery service, one to three times in quick
+// succession. Each time it rewrites the configuration and makes the process reload it by SIGHUP.
 func (f *Fleet) reconfigure(rng *rand.Rand) {
 	n := f.randomNode(rng)
 	if !n.claim() {
@@ -204,22 +211,23 @@
 	}
 }
 
-// randomFaultKind draws a fault, by the kinds' weights.
+// randomFaultKind returns a random kind of fault. Kinds are chosen in proportion to their weights.
 func randomFaultKind(rng *rand.Rand) faultKind {
 	sum := 0
 	for _, kind := range faultKinds {
 		sum += kind.weight
 	}
-	draw := rng.IntN(sum)
+	remaining := rng.IntN(sum)
 	for _, kind := range faultKinds {
-		if draw -= kind.weight; draw < 0 {
+		if remaining -= kind.weight; remaining < 0 {
 			return kind
 		}
 	}
 	panic("unreachable")
 }
 
-// injectFaults starts faults at drawn moments, without waiting for the earlier ones.
+// injectFaults starts random faults at random times until the given time, without waiting for
+// earlier faults to end.
 func (f *Fleet) injectFaults(until time.Time, rng *rand.Rand, recordFault func(string)) {
 	defer f.workers.Done()
 	total := time.Until(until)
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -12,11 +12,12 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// MaxCountedDeadline is the part of the longest deadline that counts at most for the time between SIGTERM and SIGKILL.
+// MaxCountedDeadline is the longest deadline that KillAfter takes into account. Longer deadlines
+// count as this one.
 const MaxCountedDeadline = 3 * time.Second
 
-// KillAfter returns the shortest time after SIGTERM at which the platform may send SIGKILL to a proxy process. longest is the
-// longest deadline of the proxy's classes.
+// KillAfter returns the shortest time after SIGTERM at which the platform may send SIGKILL to a
+// proxy process. longest is the longest deadline of the proxy's classes.
 func KillAfter(longest time.Duration) time.Duration {
 	return min(longest, MaxCountedDeadline) + 700*time.Millisecond
 }
@@ -30,7 +31,7 @@
 	Rate            float64       // requests per second at each proxy
 	FaultCount      int           // faults, at random times during Length
 	FailSystemCalls bool          // makes system calls of the proxies fail; the program must call ExecBehindShim
-	SkewClocks      bool          // sets each process's wall clock off, and to another offset while it runs; the program must call SkewClock
+	SkewClocks      bool          // changes each process's wall clock, also while it runs; the program must call SkewClock
 	LogDir          string        // directory for the processes' logs at debug level; if empty, no logs are saved
 }
 
@@ -53,11 +54,13 @@
 	errors   []error // of the run itself
 }
 
-// fleetCount is the number of fleets made by this process. It gives each fleet addresses of its own.
+// fleetCount is the number of fleets made by this process. It gives each fleet addresses of its
+// own.
 var fleetCount int
 
-// NewFleet starts hosts, discovery services and proxies. Hosts and proxies listen at addresses that no other process uses. If a
-// proxy does not start, NewFleet returns the fleet with the error, and the caller must close it.
+// NewFleet starts hosts, discovery services and proxies. Hosts and proxies listen at addresses that
+// no other process uses. If a proxy does not start, NewFleet returns the fleet with the error, and
+// the caller must close it.
 func NewFleet(env *experiment.Env, opt Options) (*Fleet, error) {
 	fleetCount++
 	f := &Fleet{options: opt, env: env, record: NewRecord(), stallMeter: newStallMeter(),
@@ -78,7 +81,8 @@
 	return f, nil
 }
 
-// randomClasses returns three classes with random deadlines. The first class has the longest deadline.
+// randomClasses returns three classes with random deadlines. The first class has the longest
+// deadline.
 func randomClasses(rng *rand.Rand) []experiment.Class {
 	const ms = time.Millisecond
 	longest := []time.Duration{400 * ms, 1000 * ms, 2000 * ms, 3000 * ms, 4800 * ms, 9000 * ms}[rng.IntN(6)]
@@ -136,7 +140,8 @@
 	return n.start()
 }
 
-// newDiscovery starts discovery service k of a proxy. Each list that it writes to the proxy is recorded.
+// newDiscovery starts discovery service k of a proxy. Each list that it writes to the proxy is
+// recorded.
 func (f *Fleet) newDiscovery(n *Node, k int) (*fake.Discovery, error) {
 	d, err := fake.NewDiscovery()
 	if err != nil {
@@ -154,7 +159,8 @@
 	return d, nil
 }
 
-// launch starts a process of a proxy. If system calls are to fail, it starts the process behind the proxy's shim.
+// launch starts a process of a proxy. If system calls are to fail, it starts the process behind the
+// proxy's shim.
 func (f *Fleet) launch(s experiment.Setup, number int) (*experiment.Process, error) {
 	if f.options.SkewClocks {
 		s.Env = append(s.Env[:len(s.Env):len(s.Env)], f.randomClockSkew())
--- a/internal/testbed/experiment/soak/host.go
+++ b/internal/testbed/experiment/soak/host.go
@@ -12,34 +12,35 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Host is an upstream host with the faults that the platform injects. It records each attempt that it receives.
+// Host is an upstream host in which faults can be injected. It records each attempt that it
+// receives.
 type Host struct {
 	UID    string
 	Zone   string
 	addr   string
 	record *Record
 
-	hanging         atomic.Bool  // it reads and does not answer
-	resetting       atomic.Bool  // it resets each connection on its request line
-	failingRequests atomic.Bool  // it answers ERR
-	draining        atomic.Bool  // it rejects new requests
-	acceptDelay     atomic.Int64 // delay of an acceptance, nanoseconds
-	startedAtMS     atomic.Int64 // its start, Unix milliseconds; 0: unknown
+	hanging         atomic.Bool  // reads lines but does not answer them
+	resetting       atomic.Bool  // resets each connection on its request line
+	failingRequests atomic.Bool  // answers each request with ERR
+	draining        atomic.Bool  // rejects each request with BUSY
+	acceptDelay     atomic.Int64 // delay before a request is answered with UP, in nanoseconds
+	startedAtMS     atomic.Int64 // start time, Unix milliseconds; zero if unknown
 
-	claimed atomic.Bool // a fault that changes its state in the lists is in progress
+	claimed atomic.Bool // whether a fault that changes the host's state in the lists is in progress
 
-	mu       sync.Mutex
+	mu       sync.Mutex // protects the fields below
 	listener net.Listener
-	conns    map[net.Conn]*hostAttempt
+	conns    map[net.Conn]*hostAttempt // open connections whose request line has arrived
 }
 
-// NewHost serves at an address that no other process uses.
+// NewHost returns a host that listens at addr, which no other process may use.
 func NewHost(uid, zone, addr string, r *Record) (*Host, error) {
 	h := &Host{UID: uid, Zone: zone, addr: addr, record: r, conns: map[net.Conn]*hostAttempt{}}
 	return h, h.Listen()
 }
 
-// Listen accepts connections, again after a Crash.
+// Listen starts accepting connections. It is called again after Crash.
 func (h *Host) Listen() error {
 	l, err := net.Listen("tcp", h.addr)
 	if err != nil {
@@ -52,7 +53,8 @@
 	return nil
 }
 
-// Crash stops accepting and resets all connections, as the death of a process does.
+// Crash stops accepting connections and resets those whose request line has arrived, as a crash of
+// the host's process does.
 func (h *Host) Crash() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,7 +65,8 @@
 	}
 }
 
-// Restart crashes the host and starts it anew after a while.
+// Restart crashes the host and starts it again after down, without hanging and with a new start
+// time.
 func (h *Host) Restart(down time.Duration) error {
 	h.Crash()
 	time.Sleep(down)
@@ -72,12 +75,12 @@
 	return h.Listen()
 }
 
-// Entry is the host in an endpoint list.
+// Entry returns the host's entry in an endpoint list, with the given state.
 func (h *Host) Entry(state string) fake.Entry {
 	return fake.Entry{UID: h.UID, Endpoint: h.addr, Zone: h.Zone, Model: "type-a", State: state, Weight: 1, BootMS: h.startedAtMS.Load()}
 }
 
-// MigrateClients migrates all its clients, as a draining host does.
+// MigrateClients migrates all clients that the host serves, as a draining host does.
 func (h *Host) MigrateClients() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -91,7 +94,7 @@
 	}
 }
 
-// ResetEveryNth resets one in nth of the open connections, with or without an answer.
+// ResetEveryNth resets every nth of the open connections, whether or not the request was answered.
 func (h *Host) ResetEveryNth(nth int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,7 +117,8 @@
 	}
 }
 
-// serve handles one connection from its request line to its end. It reads all the time, to see at once when the proxy closes the connection.
+// serve handles one connection from its request line to its end. It always has a read in progress,
+// so that it notices at once when the proxy closes the connection.
 func (h *Host) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReaderSize(c, 512)
@@ -145,7 +149,8 @@
 	}
 }
 
-// readLines forwards lines until the proxy ends the connection, and records that.
+// readLines forwards lines until the connection ends. It then closes lines and records that the
+// proxy ended the attempt, unless the host did.
 func readLines(in *bufio.Reader, a *hostAttempt, lines chan<- string) {
 	defer close(lines)
 	for {
@@ -158,7 +163,8 @@
 	}
 }
 
-// answer answers a request, and returns whether the connection goes on.
+// answer answers a request. It reports whether the request was served, so that the connection stays
+// open.
 func (h *Host) answer(c net.Conn, a *hostAttempt, lines <-chan string) bool {
 	switch {
 	case h.draining.Load():
@@ -176,7 +182,7 @@
 	}
 	if wait := time.Duration(h.acceptDelay.Load()); wait > 0 {
 		select {
-		case <-lines: // the proxy has closed the connection, or sends a line too early
+		case <-lines: // the proxy has closed the connection, or has sent a line before the answer
 			return false
 		case <-time.After(wait):
 		}
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Node is one proxy. Its processes succeed each other at one address; during a hot restart two of them run.
+// Node is one proxy. Its processes succeed each other at one address; during a hot restart two of
+// them run.
 type Node struct {
 	number          int
 	fleet           *Fleet
@@ -28,15 +29,16 @@
 	claimed       bool                  // whether a fault that starts, ends or reconfigures a process is in progress
 }
 
-// Current returns the last process that became ready, which may have ended since, or nil if none has become ready.
+// Current returns the last process that became ready, which may have ended since, or nil if none
+// has become ready.
 func (n *Node) Current() *proxyProcess {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current
 }
 
-// claim reports whether the caller may start, end or reconfigure the proxy's process. One fault at a time may, until it calls
-// release.
+// claim reports whether the caller may start, end or reconfigure the proxy's process. One fault at
+// a time may, until it calls release.
 func (n *Node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,7 +54,8 @@
 	n.claimed = false
 }
 
-// start starts a process at the proxy's address, with the endpoint list that was last written to the proxy.
+// start starts a process at the proxy's address, with the endpoint list that was last written to
+// the proxy.
 func (n *Node) start() error {
 	setup := n.setup
 	setup.Discovery, setup.InitialList = n.discovery[n.activeDiscovery].Addr(), n.lastKnownList()
@@ -109,8 +112,8 @@
 	return list
 }
 
-// running returns the proxy's processes that have not ended, two during a hot restart. A list written to one of them counts as
-// written to both.
+// running returns the proxy's processes that have not ended, two during a hot restart. A list
+// written to one of them counts as written to both.
 func (n *Node) running() (processes []*proxyProcess) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,7 +132,8 @@
 	}
 }
 
-// recordListFor records the hosts' states in a list for one process. A host that is missing from a complete list is removed.
+// recordListFor records the hosts' states in a list for one process. A host that is missing from a
+// complete list is removed.
 func (n *Node) recordListFor(process *proxyProcess, list fake.List, source string) {
 	writtenAt, named := time.Now(), map[string]bool{}
 	for _, entry := range list.Targets {
--- a/internal/testbed/experiment/soak/oracle.go
+++ b/internal/testbed/experiment/soak/oracle.go
@@ -8,36 +8,36 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// Violation is one action against a rule, with the evidence.
+// Violation is one action of a proxy against a rule, with the evidence.
 type Violation struct {
 	Rule   Rule
 	Detail string
 }
 
-// String is the rule and the detail.
+// String returns the rule and the detail.
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Detail }
 
-// Rule is what a proxy must not do, as violations name it.
+// Rule identifies a rule that every proxy must follow. Violations print its value.
 type Rule string
 
-// The rules.
+// The rules that the oracle checks.
 const (
-	UnansweredInTime    Rule = "unanswered_in_time"   // a request gets its answer while its client waits
+	UnansweredInTime    Rule = "unanswered_in_time"   // a request is answered while its client waits
 	ServedByNoHost      Rule = "served_by_no_host"    // a client is served only by a host
-	ConnectionCut       Rule = "connection_cut"       // an established connection ends by its client, its host or MOVE
-	ConnectionAbandoned Rule = "connection_abandoned" // a process that ends has ended its connections
-	AttemptAfterClose   Rule = "attempt_after_close"  // no attempt begins for a client that has closed its connection
-	SuspendedHostUsed   Rule = "suspended_host_used"  // a host that operators have suspended gets nothing new
-	ExcludedHostUsed    Rule = "excluded_host_used"   // a host that drains or is removed gets nothing new
-	ConcurrentAttempts  Rule = "concurrent_attempts"  // a request is at one host at a time
-	DuplicateExecution  Rule = "duplicate_execution"  // a request that is not idempotent runs once
+	ConnectionCut       Rule = "connection_cut"       // only its client, its host or MOVE ends an established connection
+	ConnectionAbandoned Rule = "connection_abandoned" // a process ends its connections before it ends
+	AttemptAfterClose   Rule = "attempt_after_close"  // no attempt begins after the client has closed its connection
+	SuspendedHostUsed   Rule = "suspended_host_used"  // a host that operators have suspended receives no new attempts
+	ExcludedHostUsed    Rule = "excluded_host_used"   // a host that is draining or removed receives no new attempts
+	ConcurrentAttempts  Rule = "concurrent_attempts"  // a request has at most one attempt at a time
+	DuplicateExecution  Rule = "duplicate_execution"  // a request runs again only if its class allows it
 	RejectedAfterRun    Rule = "rejected_after_run"   // a request that is not idempotent is rejected only if no host may have run it
-	OwnCheckFailed      Rule = "own_check_failed"     // the process logs neither a broken invariant nor a panic
-	ExitStatus          Rule = "exit_status"          // the process ends without an error
-	NotEndedInTime      Rule = "not_ended_in_time"    // the process ends between SIGTERM and SIGKILL
+	OwnCheckFailed      Rule = "own_check_failed"     // a process logs neither a broken invariant nor a panic
+	ExitStatus          Rule = "exit_status"          // a process ends with exit status 0
+	NotEndedInTime      Rule = "not_ended_in_time"    // a process ends by itself between SIGTERM and SIGKILL
 )
 
-// clientRequest is one client's request at one process of a proxy.
+// clientRequest is a client's request to a process of a proxy.
 type clientRequest struct {
 	*ClientConnection
 	process *proxyProcess
@@ -49,19 +49,19 @@
 	return fmt.Sprintf("%s %s d=%v at %s, sent %s", r.ID, r.class.Name, r.Request.Timeout, r.process.name, r.process.secondsSinceStart(r.Outcome().Sent))
 }
 
-// The times that the rules allow, and those that a stalled proxy adds.
+// The delays that the rules allow, and those that a stalled proxy or the recording of events adds.
 const (
-	answerGrace      = 500 * time.Millisecond // past the client's wait an answer is lost, and not just late
-	drainGrace       = 300 * time.Millisecond // from a list that excludes a host until it gets nothing new
-	clientCloseGrace = 100 * time.Millisecond // from the client's end until no attempt may begin
+	answerGrace      = 500 * time.Millisecond // after the client's timeout; an answer that is later counts as missing
+	drainGrace       = 300 * time.Millisecond // from a list that excludes a host until no attempt may begin there
+	clientCloseGrace = 100 * time.Millisecond // from the client's close until no attempt may begin
 	proxyDelay       = 150 * time.Millisecond // that a stalled proxy may add
-	orderSlack       = 100 * time.Millisecond // between two goroutines that record events
+	orderSlack       = 100 * time.Millisecond // between two events recorded by different goroutines
 )
 
-// oracle checks the rules against the record. slack is the longest stall of this machine itself.
+// oracle checks requests and processes against the rules and collects the violations.
 type oracle struct {
 	record     *Record
-	slack      time.Duration
+	slack      time.Duration // longest stall of the machine, by which events may be late
 	violations []Violation
 }
 
@@ -90,7 +90,8 @@
 	}
 }
 
-// checkAttemptAllowed checks whether an attempt might begin at that host at that moment.
+// checkAttemptAllowed checks that an attempt was allowed to begin at its host at the time at which
+// the host received it.
 func (o *oracle) checkAttemptAllowed(r *clientRequest, outcome Outcome, attempt *hostAttempt) {
 	sinceClose := attempt.receivedAt.Sub(outcome.EndedAt)
 	if outcome.End == ClientClosed && outcome.Answer == Unanswered && sinceClose > clientCloseGrace+proxyDelay+o.slack {
@@ -106,7 +107,9 @@
 	}
 }
 
-// checkAnswer checks whether the request has its answer in time. A process that was killed outright answers nothing any more.
+// checkAnswer checks that the request was answered in time. It allows a request without an answer
+// if its client closed the connection, its process was killed by a fault before the answer was due,
+// or the answer is not yet due.
 func (o *oracle) checkAnswer(r *clientRequest, outcome Outcome) {
 	due := outcome.Sent.Add(r.Request.Timeout + answerGrace + o.slack + r.process.totalPause())
 	switch {
@@ -121,7 +124,8 @@
 	}
 }
 
-// checkEnd checks how an established connection ended: by its client, by its host, or migrated by the proxy.
+// checkEnd checks that an established connection was ended by its client, by its host, or by the
+// proxy with MOVE. It skips connections of processes that a fault killed.
 func (o *oracle) checkEnd(r *clientRequest, outcome Outcome, attempts []*hostAttempt) {
 	if outcome.Answer != Served || r.process.wasKilled() {
 		return
@@ -142,9 +146,10 @@
 	}
 }
 
-// checkAttemptOrder checks a request with more than one attempt: one at a time, and no second execution where that does harm.
+// checkAttemptOrder checks that a request's attempts do not overlap, and that no attempt follows
+// one that its host may have executed, unless the class allows a repetition.
 func (o *oracle) checkAttemptOrder(r *clientRequest, attempts []*hostAttempt) {
-	var executed *hostAttempt // the first that its host may have executed
+	var executed *hostAttempt // first attempt that its host may have executed
 	for i, attempt := range attempts {
 		if i > 0 {
 			previous := attempts[i-1]
@@ -164,7 +169,8 @@
 	}
 }
 
-// checkProcess checks a process's log and how it ended.
+// checkProcess checks a process's log, that it ended in time, and its exit status. It does not
+// check the exit status of a process that a fault killed.
 func (o *oracle) checkProcess(p *proxyProcess) {
 	for _, line := range p.proc.LogLines("") {
 		if strings.Contains(line, "event=invariant_broken") || strings.Contains(line, "event=panic") {
--- a/internal/testbed/experiment/soak/process.go
+++ b/internal/testbed/experiment/soak/process.go
@@ -29,7 +29,8 @@
 	successor          *proxyProcess // process that took over by a hot restart; nil if none did
 }
 
-// latestSuccessor returns the last process in the chain of hot restarts that begins with p, or p if none took over from it.
+// latestSuccessor returns the last process in the chain of hot restarts that begins with p, or p if
+// none took over from it.
 func (p *proxyProcess) latestSuccessor() *proxyProcess {
 	p.mu.Lock()
 	next := p.successor
@@ -45,7 +46,8 @@
 	return fmt.Sprintf("%.3f", t.Sub(p.startedAt).Seconds())
 }
 
-// String returns the process's name with the times of its signals and its end, in seconds since its start.
+// String returns the process's name with the times of its signals and its end, in seconds since its
+// start.
 func (p *proxyProcess) String() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +99,8 @@
 	return !p.stoppedAt.IsZero() || !p.killedAt.IsZero()
 }
 
-// exitError reports whether the process has ended, and returns its exit status, which is nil for success.
+// exitError reports whether the process has ended, and returns its exit status, which is nil for
+// success.
 func (p *proxyProcess) exitError() (err error, ended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,8 +124,8 @@
 	p.recordEnd(false)
 }
 
-// stop sends SIGTERM and waits for the process's end. After KillAfter, the earliest time at which the platform may do so, it
-// sends SIGKILL; slack extends this time by the stalls of the machine.
+// stop sends SIGTERM and waits for the process's end. After KillAfter, the earliest time at which
+// the platform may do so, it sends SIGKILL; slack extends this time by the stalls of the machine.
 func (p *proxyProcess) stop(longest, slack time.Duration) {
 	p.mu.Lock()
 	p.stoppedAt = time.Now()
--- a/internal/testbed/experiment/soak/record.go
+++ b/internal/testbed/experiment/soak/record.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Record contains the attempts that hosts received and the hosts' states in the lists that each process was sent. Its methods are
-// safe for concurrent use.
+// Record contains the attempts that hosts received and the hosts' states in the lists that each
+// process was sent. Its methods are safe for concurrent use.
 type Record struct {
 	mu       sync.Mutex                  // protects the fields below
 	attempts map[string][]*hostAttempt   // by request ID, in order of arrival
@@ -71,7 +71,8 @@
 	return append([]*hostAttempt(nil), r.attempts[requestID]...)
 }
 
-// recordNotice records that a list with a host's state was written to a process. It stores only changes of the state.
+// recordNotice records that a list with a host's state was written to a process. It stores only
+// changes of the state.
 func (r *Record) recordNotice(process *proxyProcess, host string, notice stateNotice) {
 	key := noticeKey{process, host}
 	r.mu.Lock()
@@ -81,8 +82,8 @@
 	}
 }
 
-// excludedSince reports whether a host was draining or removed in the lists that a process had been sent before at. If so, it
-// returns the first notice that excluded the host.
+// excludedSince reports whether a host was draining or removed in the lists that a process had been
+// sent before at. If so, it returns the first notice that excluded the host.
 func (r *Record) excludedSince(process *proxyProcess, host string, at time.Time) (since stateNotice, excluded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/experiment/soak/run.go
+++ b/internal/testbed/experiment/soak/run.go
@@ -36,7 +36,8 @@
 		r.Seed, r.LongestDeadline, r.Processes, r.Requests, r.Answers, r.Ends, r.Stopped, r.KilledAfterTimeout, r.FailedCalls, r.LongestStall.Round(time.Millisecond), len(r.Violations), len(r.Errors))
 }
 
-// Run runs a fleet under overlapping faults and checks the rules. It returns an error only if the fleet does not start.
+// Run runs a fleet under overlapping faults and checks the rules. It returns an error only if the
+// fleet does not start.
 func Run(env *experiment.Env, opt Options) (*Result, error) {
 	f, err := NewFleet(env, opt)
 	if f != nil {
@@ -92,7 +93,8 @@
 	time.Sleep(answerGrace) // for lines that the processes have written and that have not arrived yet
 }
 
-// saveLogs writes each process's log and the injected faults to a directory of this seed under LogDir.
+// saveLogs writes each process's log and the injected faults to a directory of this seed under
+// LogDir.
 func (f *Fleet) saveLogs(r *Result) error {
 	dir := filepath.Join(f.options.LogDir, fmt.Sprint("seed", r.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/testbed/experiment/soak/seccomp.go
+++ b/internal/testbed/experiment/soak/seccomp.go
@@ -28,20 +28,24 @@
 	flags     uint32
 }
 
-// The requests on a notification descriptor, and the flag that lets the kernel make the call.
+// The ioctl requests on a notification descriptor, and the reply flag that makes the kernel execute
+// the call.
 const (
 	notifyReceive  = 0xc0502100
 	notifySend     = 0xc0182101
 	notifyContinue = 1
 )
 
-// pollTimeoutMS is how soon the shim notices its Close, in milliseconds.
+// pollTimeoutMS is the time in milliseconds within which serveNotifications notices that the shim
+// was closed.
 const pollTimeoutMS = 100
 
-// lockThread keeps the calling goroutine on its thread: a filter belongs to the thread that installs it.
+// lockThread locks the calling goroutine to its thread, since a filter applies only to the thread
+// that installs it.
 func lockThread() { runtime.LockOSThread() }
 
-// serveNotifications answers the notifications of a process until it has ended, or the shim is closed.
+// serveNotifications answers the notifications of a process until the process has ended or the shim
+// is closed.
 func (s *Shim) serveNotifications(fd int, ready *atomic.Bool) {
 	for {
 		select {
@@ -61,23 +65,24 @@
 	}
 }
 
-// answerNotification answers one notification: the kernel makes the call, or it fails.
+// answerNotification answers one notification. It makes the call fail with a random error or lets
+// the kernel execute it. Before the process is ready no call fails.
 func (s *Shim) answerNotification(fd int, ready bool) {
-	var q notification
-	if ioctl(fd, notifyReceive, unsafe.Pointer(&q)) != 0 {
-		return // the caller has been killed meanwhile
+	var request notification
+	if ioctl(fd, notifyReceive, unsafe.Pointer(&request)) != 0 {
+		return // the calling process has been killed
 	}
-	v := notificationReply{requestID: q.requestID}
-	v.flags = notifyContinue
+	reply := notificationReply{requestID: request.requestID}
+	reply.flags = notifyContinue
 	if ready {
-		if errno := s.randomError(q.call, q.args[1]); errno != 0 {
-			v.errno, v.flags = -int32(errno), 0
+		if errno := s.randomError(request.call, request.args[1]); errno != 0 {
+			reply.errno, reply.flags = -int32(errno), 0
 		}
 	}
-	ioctl(fd, notifySend, unsafe.Pointer(&v))
+	ioctl(fd, notifySend, unsafe.Pointer(&reply))
 }
 
-// ioctl is the system call, repeated when it is interrupted.
+// ioctl makes the system call and repeats it while it is interrupted by signals.
 func ioctl(fd int, request uintptr, arg unsafe.Pointer) syscall.Errno {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), request, uintptr(arg))
--- a/internal/testbed/experiment/soak/shim.go
+++ b/internal/testbed/experiment/soak/shim.go
@@ -16,27 +16,31 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// shimEnv names the program that a process executes behind the system call filter.
+// shimEnv is the environment variable with the path of the program that a process executes behind
+// the system call filter.
 const shimEnv = "CROFTLOCK_SOAK_SHIM"
 
-// Shim makes some system calls of a proxy's processes fail with errors that the kernel documents. It uses a seccomp filter with user
-// notification on these processes alone, which needs no privileges.
+// Shim makes some system calls of a proxy's processes fail with errors that the kernel documents
+// for them. It installs a seccomp filter with user notification in these processes only, which
+// needs no privileges.
 type Shim struct {
-	failed atomic.Int64  // injected failures
+	failed atomic.Int64  // number of injected failures
 	ended  chan struct{} // closed by Close
 
-	mu              sync.Mutex // protects what follows
+	mu              sync.Mutex // protects the fields below
 	rng             *rand.Rand
-	failing         bool
-	failProbability float64 // part of the calls that fail while failing
+	failing         bool    // whether calls fail now
+	failProbability float64 // probability that a call fails while failing is set
 }
 
-// NewShim makes one for the processes of one proxy.
+// NewShim returns a shim for the processes of one proxy. seed determines which calls fail, when and
+// how.
 func NewShim(seed uint64) *Shim {
 	return &Shim{rng: rand.New(rand.NewPCG(seed, 5)), ended: make(chan struct{})}
 }
 
-// errnos are the errors that are injected, by system call. Each leaves the process's state as it was.
+// errnos lists the errors that are injected, by system call. A call that fails with one of them has
+// no effect.
 var errnos = map[int32][]syscall.Errno{
 	unix.SYS_ACCEPT:    {unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINTR, unix.EPROTO},
 	unix.SYS_ACCEPT4:   {unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINTR, unix.EPROTO},
@@ -49,12 +53,13 @@
 	unix.SYS_RENAMEAT:  {unix.EIO, unix.ENOSPC},
 }
 
-// proxyFlags mark the proxy's own writes; the standard library's, which also hand descriptors over, never fail.
+// proxyFlags are the sendmsg flags by which the filter recognizes the proxy's own writes. Writes of
+// the standard library, which also pass descriptors to other processes, never fail.
 const proxyFlags = unix.MSG_NOSIGNAL | unix.MSG_DONTWAIT
 
 // seccompFilter is the seccomp program that sends a notification for each call in errnos.
 func seccompFilter() []unix.SockFilter {
-	const nr, flags = 0, 16 + 2*8 // offsets in struct seccomp_data: the call, and the low half of its third argument
+	const nr, flags = 0, 16 + 2*8 // offsets in struct seccomp_data of the call's number and the low half of its third argument
 	load := func(at uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: at}
 	}
@@ -71,7 +76,8 @@
 	return append(p, equal(unix.SYS_SENDMSG, 3), load(flags), equal(proxyFlags, 1), ret(unix.SECCOMP_RET_USER_NOTIF), ret(unix.SECCOMP_RET_ALLOW))
 }
 
-// ExecBehindShim executes the program that a shim started this process for; without a shim it does nothing. Call it first in main.
+// ExecBehindShim replaces this process by the program that its shim is to run. It does nothing if
+// no shim started the process. Call it at the start of main.
 func ExecBehindShim() {
 	program := os.Getenv(shimEnv)
 	if program == "" {
@@ -84,7 +90,8 @@
 	}
 }
 
-// execBehindFilter installs the filter, sends its notification descriptor to the shim, and executes the program.
+// execBehindFilter installs the filter, sends its notification descriptor to the shim and executes
+// the program. It returns only if one of them fails.
 func execBehindFilter(program string) error {
 	lockThread()
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
@@ -104,10 +111,12 @@
 	return syscall.Exec(program, os.Args, os.Environ())
 }
 
-// shimFD is the socket on which a process sends the shim its notification descriptor.
+// shimFD is the descriptor of the socket on which a process sends its notification descriptor to
+// the shim.
 const shimFD = 3
 
-// Launch starts a process behind the shim. No call fails before it is ready: Go's runtime ends a process whose first epoll_ctl fails.
+// Launch starts a process behind the shim and waits until it is ready. No call fails until then,
+// since Go's runtime ends a process whose first epoll_ctl fails.
 func (s *Shim) Launch(e *experiment.Env, p experiment.Setup) (*experiment.Process, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -128,7 +137,8 @@
 	return proc, err
 }
 
-// serveProcess receives a process's notification descriptor and serves it until the process has ended.
+// serveProcess receives a process's notification descriptor and answers its notifications until the
+// process has ended or the shim is closed.
 func (s *Shim) serveProcess(from *os.File, ready *atomic.Bool) {
 	c, err := net.FileConn(from)
 	from.Close()
@@ -153,7 +163,7 @@
 	s.serveNotifications(fds[0], ready)
 }
 
-// InjectFailures alternates times without failures and times with them, until the given time.
+// InjectFailures alternates random periods without and with failures until the given time.
 func (s *Shim) InjectFailures(until time.Time) {
 	for time.Now().Before(until) {
 		s.mu.Lock()
@@ -166,20 +176,21 @@
 	}
 }
 
-// setFailing makes a share of the calls fail from now on, or none.
+// setFailing sets whether calls fail from now on, and with which probability.
 func (s *Shim) setFailing(on bool, share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failing, s.failProbability = on, share
 }
 
-// FailedCalls is the number of injected failures.
+// FailedCalls returns the number of injected failures.
 func (s *Shim) FailedCalls() int { return int(s.failed.Load()) }
 
-// Close ends the shim; its processes must have ended.
+// Close stops the shim. Its processes must have ended.
 func (s *Shim) Close() { close(s.ended) }
 
-// randomError draws the error of a call; 0: it does not fail. secondArgument is the call's.
+// randomError returns a random error for a call, or zero if the call is not to fail. Of epoll_ctl
+// calls only those that add a descriptor fail; secondArgument is their operation.
 func (s *Shim) randomError(call int32, secondArgument uint64) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// asProgram is the variable by which the test's own binary runs as the program.
+// asProgram is the environment variable that makes the test binary run as the proxy program.
 const asProgram = "CROFTLOCK_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -24,11 +24,11 @@
 	os.Exit(m.Run())
 }
 
-// shutdownTest is one proxy whose hosts can hang, and its clients.
+// shutdownTest contains a proxy and its hosts, which can hang.
 type shutdownTest struct {
 	proxy    *experiment.Process
 	hosts    []*fake.Server
-	deadline time.Duration // of requests
+	deadline time.Duration // of every request
 }
 
 func newShutdownTest(t *testing.T, deadline time.Duration) *shutdownTest {
@@ -49,7 +49,8 @@
 	return s
 }
 
-// request sends n requests, each on a connection of its own, which sends a line every 100 ms once it is served.
+// request sends n requests on n connections. Each client sends a line every 100 ms once it is
+// served.
 func (s *shutdownTest) request(t *testing.T, n int) (connections []*ClientConnection) {
 	t.Helper()
 	for range n {
@@ -63,7 +64,7 @@
 	return connections
 }
 
-// establish sends requests until n are served; some may be rejected before.
+// establish sends requests until n of them are served. Some may be rejected before that.
 func (s *shutdownTest) establish(t *testing.T, n int) (connections []*ClientConnection) {
 	t.Helper()
 	_, ok := experiment.AwaitCondition(20*time.Second, func() bool {
@@ -80,7 +81,8 @@
 	return connections
 }
 
-// requestWhileFrontSends sends requests for as long as the front still sends new clients to a proxy that is shutting down.
+// requestWhileFrontSends sends requests for the 300 ms after SIGTERM in which the platform's front
+// continues to send new clients to a proxy.
 func (s *shutdownTest) requestWhileFrontSends(t *testing.T, terminatedAt time.Time) (connections []*ClientConnection) {
 	t.Helper()
 	for time.Since(terminatedAt) < 300*time.Millisecond {
@@ -93,8 +95,9 @@
 	return connections
 }
 
-// TestShutdownEndsBeforeEarliestKill: the hosts hang, clients go on sending, and SIGKILL comes as early as the platform may send it. By then
-// each request has its answer, each established connection has been migrated, and the process has ended.
+// TestShutdownEndsBeforeEarliestKill guards against a shutdown that outlasts the shortest time
+// between SIGTERM and SIGKILL because hosts hang and clients continue to send. By SIGKILL each
+// request must be answered, each established connection migrated, and the process ended.
 func TestShutdownEndsBeforeEarliestKill(t *testing.T) {
 	for _, deadline := range []time.Duration{100, 400, 1000, 2000, 3000, 4800, 9000} {
 		deadline *= time.Millisecond
@@ -111,7 +114,8 @@
 			terminatedAt := time.Now()
 			s.proxy.Signal(syscall.SIGTERM)
 			waiting = append(waiting, s.requestWhileFrontSends(t, terminatedAt)...)
-			// SIGKILL comes no sooner than the platform says, and later by the longest stall of this machine.
+			// SIGKILL follows at the earliest time that the platform allows, plus the longest stall
+			// of the machine.
 			time.Sleep(time.Until(terminatedAt.Add(KillAfter(deadline))))
 			stalls.stop()
 			time.Sleep(stalls.longestStall())
@@ -121,7 +125,8 @@
 	}
 }
 
-// check reports connections that were not migrated, requests without an answer, and a process that did not end by itself.
+// check reports connections that were not migrated, requests without an answer, and a process that
+// did not end by itself.
 func (s *shutdownTest) check(t *testing.T, established, waiting []*ClientConnection) {
 	t.Helper()
 	notMigrated, unanswered := map[End]int{}, 0
@@ -136,15 +141,16 @@
 		}
 	}
 	if len(notMigrated) > 0 || unanswered > 0 {
-		t.Errorf("of %d established connections not migrated, by their end: %v; of %d requests without an answer: %d; log:\n%s", len(established),
+		t.Errorf("%d established connections: not migrated, by their end: %v, want none; %d requests: unanswered: %d, want 0; log:\n%s", len(established),
 			notMigrated, len(waiting), unanswered, strings.Join(s.proxy.LogLines("event="), "\n"))
 	}
 	if stopped := s.proxy.LogLines("event=stopped"); len(stopped) == 0 {
-		t.Errorf("the process did not end by itself")
+		t.Errorf("no event=stopped in the log: the process did not end before SIGKILL")
 	}
 }
 
-// finalOutcome waits until the lines that an ended process has written have arrived.
+// finalOutcome waits up to 2 s for the end of the connection, so that lines that an ended process
+// has written arrive, and returns the outcome.
 func (c *ClientConnection) finalOutcome() Outcome {
 	select {
 	case <-c.Ended():
--- a/internal/testbed/experiment/soak/suspensions.go
+++ b/internal/testbed/experiment/soak/suspensions.go
@@ -7,20 +7,23 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// suspension is a span of time in which a proxy must not use a host: from the answer to an operator's call until the call that ends it.
+// suspension is a period in which a proxy must not use a host. It lasts from the answer to an
+// operator's suspend call until the resume call.
 type suspension struct {
 	host        string
-	from, until time.Time // until is zero while it holds
+	from, until time.Time // until is zero while the suspension lasts
 }
 
-// suspensionGrace is how long the effect of a suspension may take: the platform counts it from the answer, or from 1 s after the call.
+// suspensionGrace is how long a suspension may take to become effective. The platform expects the
+// effect from the answer on, or from 1 s after the call.
 const suspensionGrace = time.Second
 
-// suspend plays an operator who suspends a host at a proxy and resumes it later, also where the proxy's process ends meanwhile.
+// suspend acts as an operator who suspends a random host at a random proxy and resumes it later,
+// even if the proxy's process has been replaced meanwhile.
 func (f *Fleet) suspend(rng *rand.Rand) {
 	n, h := f.randomNode(rng), f.randomHost(rng)
 	if !n.claimSuspension(h.UID) {
-		return // whoever suspends a host also resumes it
+		return // another operator has suspended the host and will resume it
 	}
 	defer n.releaseSuspension(h.UID)
 	if !n.callOperator(h.UID, "suspend") {
@@ -34,7 +37,7 @@
 	n.mu.Lock()
 	s.until = time.Now()
 	n.mu.Unlock()
-	const attempts, retryInterval = 100, 100 * time.Millisecond // the next process may still be starting
+	const attempts, retryInterval = 100, 100 * time.Millisecond // calls fail while the proxy's next process is starting
 	for range attempts {
 		if n.callOperator(h.UID, "resume") {
 			return
@@ -43,7 +46,8 @@
 	}
 }
 
-// claimSuspension returns whether the caller may suspend a host at a proxy: one operator at a time may, until its release.
+// claimSuspension reports whether the caller may suspend a host at a proxy. One operator at a time
+// may, until it calls releaseSuspension.
 func (n *Node) claimSuspension(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,14 +58,15 @@
 	return true
 }
 
-// releaseSuspension ends a claim.
+// releaseSuspension ends a claim made by claimSuspension.
 func (n *Node) releaseSuspension(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.suspending, host)
 }
 
-// callOperator makes an operator's call at the current process, and returns whether it succeeded.
+// callOperator calls an operator's action, suspend or resume, at the current process. It reports
+// whether the call succeeded, and makes none if there is no process or the process is stopping.
 func (n *Node) callOperator(host, action string) bool {
 	process := n.Current()
 	if process == nil || process.isStopping() {
@@ -71,7 +76,8 @@
 	return err == nil && status == 200
 }
 
-// suspendedSince returns since when a host was suspended at a proxy, if it was at a moment.
+// suspendedSince reports whether a host was suspended at a proxy at the given time. If so, it
+// returns the time of the suspension.
 func (n *Node) suspendedSince(host string, at time.Time) (since time.Time, suspended bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/fake/authority.go
+++ b/internal/testbed/fake/authority.go
@@ -26,8 +26,8 @@
 	return p
 }
 
-// Issue issues a certificate. A zero NotBefore means an hour ago, and a zero NotAfter an hour from now. The certificate is
-// for servers unless spec.Client is set.
+// Issue issues a certificate. A zero NotBefore means an hour ago, and a zero NotAfter an hour from
+// now. The certificate is for servers unless spec.Client is set.
 func (a *Authority) Issue(spec certs.Spec) (*certs.Pair, error) {
 	now := time.Now()
 	if spec.NotBefore.IsZero() {
@@ -54,8 +54,9 @@
 	return c
 }
 
-// ServerTLSConfig returns a server's configuration that presents the certificate that get returns at each handshake. If
-// clients is not nil, the server requires a client certificate that chains to the pool that clients returns.
+// ServerTLSConfig returns a server's configuration that presents the certificate that get returns
+// at each handshake. If clients is not nil, the server requires a client certificate that chains to
+// the pool that clients returns.
 func ServerTLSConfig(get func() *tls.Certificate, clients func() *x509.CertPool) *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return get(), nil }}
@@ -82,7 +83,8 @@
 	return ServerTLSConfig(func() *tls.Certificate { return c }, nil), nil
 }
 
-// SaveTrustBundle writes the authorities' root certificates to trust.pem in dir and returns the file's path.
+// SaveTrustBundle writes the authorities' root certificates to trust.pem in dir and returns the
+// file's path.
 func SaveTrustBundle(dir string, all ...*Authority) (string, error) {
 	var bundle []*x509.Certificate
 	for _, a := range all {
@@ -92,7 +94,8 @@
 	return path, certs.ReplaceFile(path, certs.EncodeBundle(bundle...), 0o644)
 }
 
-// SaveClientCertificate issues a client certificate and writes it and its key to client.pem and client.key in dir.
+// SaveClientCertificate issues a client certificate and writes it and its key to client.pem and
+// client.key in dir.
 func (a *Authority) SaveClientCertificate(dir string, spec certs.Spec) (*certs.Pair, error) {
 	spec.Client = true
 	p, err := a.Issue(spec)
--- a/internal/testbed/fake/badserver.go
+++ b/internal/testbed/fake/badserver.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// countingConn adds what it reads to the server's RequestBytes if it contains a request in plain text.
+// countingConn adds what it reads to the server's RequestBytes if it contains a request in plain
+// text.
 type countingConn struct {
 	net.Conn
 	server *BadServer
--- a/internal/testbed/fake/client.go
+++ b/internal/testbed/fake/client.go
@@ -26,9 +26,10 @@
 	Latency time.Duration // time from sending the request
 }
 
-// Open connects to a proxy and sends a request. If extra is not empty, Open appends it to the request line's fields, for
-// example "at=s1". It waits for the answer a second longer than wait, so that callers can tell a late answer from a missing
-// one. The client is nil unless the answer is UP.
+// Open connects to a proxy and sends a request. If extra is not empty, Open appends it to the
+// request line's fields, for example "at=s1". It waits for the answer a second longer than wait, so
+// that callers can tell a late answer from a missing one. The client is nil unless the answer is
+// UP.
 func Open(proxy, class, extra string, wait time.Duration) (*Client, Answer, error) {
 	conn, err := net.DialTimeout("tcp", proxy, 5*time.Second)
 	if err != nil {
@@ -60,7 +61,8 @@
 	return c, a, nil
 }
 
-// Exchange sends a line and waits for its answer. It reports whether the answer was MOVE; then took is zero.
+// Exchange sends a line and waits for its answer. It reports whether the answer was MOVE; then took
+// is zero.
 func (c *Client) Exchange(text string, within time.Duration) (took time.Duration, migrated bool, err error) {
 	startedAt := time.Now()
 	c.conn.SetDeadline(startedAt.Add(within))
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -1,6 +1,7 @@
-// Package fake provides fakes of what a proxy talks to, for tests and for croftlock-experiment: discovery, upstream hosts, hosts
-// with TLS faults, clients, and the network between proxies. They follow the platform's protocol and the public specifications,
-// run on loopback only, and are never part of a proxy.
+// Package fake provides fakes of what a proxy talks to, for tests and for croftlock-experiment:
+// discovery, upstream hosts, hosts with TLS faults, clients, and the network between proxies. They
+// follow the platform's protocol and the public specifications, run on loopback only, and are never
+// part of a proxy.
 package fake
 
 import (
@@ -46,8 +47,8 @@
 	onWritten  func(List)    // see OnWritten
 }
 
-// OnWritten makes the service call f with each list that it has written to a caller, after which the proxy counts as notified.
-// f is called from several goroutines.
+// OnWritten makes the service call f with each list that it has written to a caller, after which
+// the proxy counts as notified. f is called from several goroutines.
 func (d *Discovery) OnWritten(f func(List)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,8 +74,8 @@
 // Close stops the service and closes its connections.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Set adds or replaces entries and answers waiting watches at once. An empty state means up, and a zero weight means 1. An entry
-// in the state removed is no longer in the complete list.
+// Set adds or replaces entries and answers waiting watches at once. An empty state means up, and a
+// zero weight means 1. An entry in the state removed is no longer in the complete list.
 func (d *Discovery) Set(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,8 +125,9 @@
 	d.nextChange = make(chan struct{})
 }
 
-// SetSilent sets whether the service withholds all answers, as an agent does while discovery is down. Calls, including watches
-// that have not yet been answered, wait and fail without an answer when the silence ends.
+// SetSilent sets whether the service withholds all answers, as an agent does while discovery is
+// down. Calls, including watches that have not yet been answered, wait and fail without an answer
+// when the silence ends.
 func (d *Discovery) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -137,7 +139,8 @@
 	}
 }
 
-// silenceEndChan returns a channel that is closed when the silence ends, or nil if the service is not silent.
+// silenceEndChan returns a channel that is closed when the silence ends, or nil if the service is
+// not silent.
 func (d *Discovery) silenceEndChan() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,10 +168,12 @@
 	return d.listSince(completeList)
 }
 
-// completeList is the revision that requests the complete list in a query. Any negative revision does so.
+// completeList is the revision that requests the complete list in a query. Any negative revision
+// does so.
 const completeList = -1
 
-// listSince returns the changes since a revision, or the complete list if rev is negative. The caller must hold mu.
+// listSince returns the changes since a revision, or the complete list if rev is negative. The
+// caller must hold mu.
 func (d *Discovery) listSince(rev int64) List {
 	list := List{Rev: d.rev, Complete: rev < 0, Targets: []Entry{}}
 	for _, e := range d.hosts {
--- a/internal/testbed/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -14,8 +14,9 @@
 type Fault struct {
 	Kind   string
 	Reason string // reason that the proxy logs; empty if it logs none
-	// CompletesHandshake reports whether the server completes the handshake and then breaks the connection without reading.
-	// Then the proxy may send its request; otherwise no byte of a request may reach the server.
+	// CompletesHandshake reports whether the server completes the handshake and then breaks the
+	// connection without reading. Then the proxy may send its request; otherwise no byte of a
+	// request may reach the server.
 	CompletesHandshake bool
 	TLS12              bool                                 // the server and the proxy's settings use TLS 1.2 instead of TLS 1.3
 	Config             configFunc                           // returns the server's configuration; nil if the fault needs none
@@ -25,8 +26,8 @@
 // configFunc returns a server's TLS configuration.
 type configFunc func(p *PKI) (*tls.Config, error)
 
-// withCertificate returns a configFunc that presents a certificate of the given spec, issued by the given authority. If the spec
-// has no hosts, the certificate is for the server's name.
+// withCertificate returns a configFunc that presents a certificate of the given spec, issued by the
+// given authority. If the spec has no hosts, the certificate is for the server's name.
 func withCertificate(spec func(p *PKI) certs.Spec, issuer func(p *PKI) *Authority) configFunc {
 	return func(p *PKI) (*tls.Config, error) {
 		s := spec(p)
@@ -126,7 +127,8 @@
 	return ServerTLSConfig(func() *tls.Certificate { return TLSCertificate(pair) }, nil), nil
 }
 
-// longChain returns a configuration whose chain is a valid certificate followed by 1 MiB of unrelated ones.
+// longChain returns a configuration whose chain is a valid certificate followed by 1 MiB of
+// unrelated ones.
 func longChain(p *PKI) (*tls.Config, error) {
 	pair, err := p.Trusted.Issue(certs.Spec{Hosts: []string{p.ServerName}})
 	if err != nil {
@@ -139,7 +141,8 @@
 	return ServerTLSConfig(func() *tls.Certificate { return c }, nil), nil
 }
 
-// Reset closes c with a TCP reset if c has a SetLinger method, as TCP connections do. Otherwise it only closes c.
+// Reset closes c with a TCP reset if c has a SetLinger method, as TCP connections do. Otherwise it
+// only closes c.
 func Reset(c net.Conn) {
 	if t, ok := c.(interface{ SetLinger(int) error }); ok {
 		t.SetLinger(0)
--- a/internal/testbed/fake/hosts.go
+++ b/internal/testbed/fake/hosts.go
@@ -6,7 +6,8 @@
 	Discovery *Discovery
 }
 
-// NewHosts starts a host without TLS for each ID, all in one zone, and a discovery service that lists them.
+// NewHosts starts a host without TLS for each ID, all in one zone, and a discovery service that
+// lists them.
 func NewHosts(zone string, ids ...string) (*Hosts, error) {
 	h := &Hosts{}
 	for _, id := range ids {
--- a/internal/testbed/fake/mesh.go
+++ b/internal/testbed/fake/mesh.go
@@ -21,8 +21,9 @@
 	Jitter     time.Duration // upper bound of a random delay that is added to Delay and reorders datagrams
 }
 
-// Mesh forwards datagrams between processes. It has a socket for every ordered pair of processes: each process reaches the others
-// at addresses of its own, so that each direction of a link has its own faults. It needs no privileges.
+// Mesh forwards datagrams between processes. It has a socket for every ordered pair of processes:
+// each process reaches the others at addresses of its own, so that each direction of a link has its
+// own faults. It needs no privileges.
 type Mesh struct {
 	listenAddrs []netip.AddrPort
 	sockets     [][]*net.UDPConn // by sender and receiver
@@ -33,7 +34,8 @@
 	rng   *rand.Rand
 }
 
-// meshCount is the number of meshes made by this process. It gives each mesh a loopback address of its own.
+// meshCount is the number of meshes made by this process. It gives each mesh a loopback address of
+// its own.
 var meshCount atomic.Uint32
 
 // NewMesh returns a mesh for n processes. seed determines its random faults.
@@ -64,8 +66,9 @@
 	return m, nil
 }
 
-// newListenAddrs returns the addresses that the n processes listen on, at a loopback address that only this mesh uses. On
-// 127.0.0.1 another socket could bind a port before its process listens there.
+// newListenAddrs returns the addresses that the n processes listen on, at a loopback address that
+// only this mesh uses. On 127.0.0.1 another socket could bind a port before its process listens
+// there.
 func newListenAddrs(n int) []netip.AddrPort {
 	addrs := make([]netip.AddrPort, n)
 	mesh := meshCount.Add(1)
@@ -79,7 +82,8 @@
 // ListenAddr returns the address that process i must listen on.
 func (m *Mesh) ListenAddr(i int) string { return m.listenAddrs[i].String() }
 
-// PeerAddrs returns the addresses at which process i reaches each process, by number. Its own entry is its ListenAddr.
+// PeerAddrs returns the addresses at which process i reaches each process, by number. Its own entry
+// is its ListenAddr.
 func (m *Mesh) PeerAddrs(i int) []string {
 	out := make([]string, len(m.listenAddrs))
 	for j := range out {
@@ -90,7 +94,8 @@
 	return out
 }
 
-// UpdateLink calls change on the link from one process to another. change must not call methods of the mesh.
+// UpdateLink calls change on the link from one process to another. change must not call methods of
+// the mesh.
 func (m *Mesh) UpdateLink(from, to int, change func(l *Link)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,8 +105,8 @@
 // maxDatagram is a size in bytes that exceeds every datagram of the processes.
 const maxDatagram = 2048
 
-// forward forwards datagrams from one process to another until the socket is closed. They leave from the address at which the
-// receiver knows the sender.
+// forward forwards datagrams from one process to another until the socket is closed. They leave
+// from the address at which the receiver knows the sender.
 func (m *Mesh) forward(from, to int) {
 	defer m.forwarders.Done()
 	in, buf := m.sockets[from][to], make([]byte, maxDatagram)
@@ -155,7 +160,8 @@
 	return c.SetReadDeadline(time.Time{}) != nil
 }
 
-// Inject sends a datagram to process to from the address at which it knows process from. The link's faults do not apply.
+// Inject sends a datagram to process to from the address at which it knows process from. The link's
+// faults do not apply.
 func (m *Mesh) Inject(from, to int, data []byte) error {
 	if from == to {
 		return fmt.Errorf("process %d has no link to itself", from)
--- a/internal/testbed/fake/pki.go
+++ b/internal/testbed/fake/pki.go
@@ -10,7 +10,8 @@
 	"croftlock/internal/operations/certs"
 )
 
-// PKI holds an authority that the proxy trusts, another that it does not trust at first, and a revoked certificate.
+// PKI holds an authority that the proxy trusts, another that it does not trust at first, and a
+// revoked certificate.
 type PKI struct {
 	Trusted    *Authority
 	Other      *Authority
@@ -31,7 +32,8 @@
 	return p, err3
 }
 
-// CRL returns a revocation list that contains the revoked certificate and is valid until the given time.
+// CRL returns a revocation list that contains the revoked certificate and is valid until the given
+// time.
 func (p *PKI) CRL(until time.Time) ([]byte, error) {
 	return certs.NewRevocationList(p.Trusted.Root, 1, time.Now().Add(-time.Hour), until, p.Revoked.Cert)
 }
@@ -41,7 +43,8 @@
 	return certs.NewRevocationList(p.Other.Root, 1, time.Now().Add(-time.Hour), time.Now().Add(time.Hour), &x509.Certificate{SerialNumber: big.NewInt(1)})
 }
 
-// TruncatedPEM returns the first half of a certificate's PEM encoding, as a reader finds it in a file that is being written.
+// TruncatedPEM returns the first half of a certificate's PEM encoding, as a reader finds it in a
+// file that is being written.
 func TruncatedPEM(c *x509.Certificate) []byte {
 	whole := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})
 	return whole[:len(whole)/2]
--- a/internal/testbed/fake/server.go
+++ b/internal/testbed/fake/server.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Server is an upstream host. It answers a request with UP, each further line with GOT and the line, and BYE with BYE.
+// Server is an upstream host. It answers a request with UP, each further line with GOT and the
+// line, and BYE with BYE.
 type Server struct {
 	tcpServer
 	UID  string
@@ -84,7 +85,8 @@
 	return append([]Handshake(nil), s.handshakes...)
 }
 
-// Requests returns the number of requests received and the number of request IDs received more than once.
+// Requests returns the number of requests received and the number of request IDs received more than
+// once.
 func (s *Server) Requests() (total, repeated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,8 +99,8 @@
 	return total, repeated
 }
 
-// ClientCertificates returns the number of handshakes by the serial number of the certificate that the client presented.
-// Handshakes without a client certificate do not count.
+// ClientCertificates returns the number of handshakes by the serial number of the certificate that
+// the client presented. Handshakes without a client certificate do not count.
 func (s *Server) ClientCertificates() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/fake/serverconn.go
+++ b/internal/testbed/fake/serverconn.go
@@ -59,7 +59,8 @@
 // errInvalidRequest reports that a connection's first line is not a valid request.
 var errInvalidRequest = errors.New("the first line is not a valid request")
 
-// readRequest reads a request line and returns the request's ID. It returns errInvalidRequest if the line is not a request.
+// readRequest reads a request line and returns the request's ID. It returns errInvalidRequest if
+// the line is not a request.
 func readRequest(in *bufio.Reader) (id string, err error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -72,7 +73,8 @@
 	return words[1], nil
 }
 
-// answer records and answers a request. It reports whether the request was served, so that the connection stays open.
+// answer records and answers a request. It reports whether the request was served, so that the
+// connection stays open.
 func (s *Server) answer(c net.Conn, id string) bool {
 	time.Sleep(time.Duration(s.AnswerDelay.Load()))
 	s.mu.Lock()
@@ -91,7 +93,8 @@
 	return true
 }
 
-// serveLines answers the lines of an established connection until the client sends BYE or the connection breaks.
+// serveLines answers the lines of an established connection until the client sends BYE or the
+// connection breaks.
 func (s *Server) serveLines(c net.Conn, in *bufio.Reader) {
 	for {
 		line, err := in.ReadString('\n')
--- a/internal/testbed/fake/tlsrecords.go
+++ b/internal/testbed/fake/tlsrecords.go
@@ -15,10 +15,11 @@
 	"sync"
 )
 
-// A crypto/tls server neither sends key updates on its own nor requests renegotiation. This file encodes both according to
-// RFC 8446 and RFC 5246 and encrypts them with the keys of the handshake.
+// A crypto/tls server neither sends key updates on its own nor requests renegotiation. This file
+// encodes both according to RFC 8446 and RFC 5246 and encrypts them with the keys of the handshake.
 
-// keyLog stores a key log in the NSS format: each line consists of a label, the client's random and a secret.
+// keyLog stores a key log in the NSS format: each line consists of a label, the client's random and
+// a secret.
 type keyLog struct {
 	mu  sync.Mutex
 	log bytes.Buffer
@@ -31,7 +32,8 @@
 	return k.log.Write(p)
 }
 
-// lastSecret returns the last secret logged under a label and the client's random. It returns nil for both if there is none.
+// lastSecret returns the last secret logged under a label and the client's random. It returns nil
+// for both if there is none.
 func (k *keyLog) lastSecret(label string) (random, secret []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -57,7 +59,8 @@
 	return a
 }
 
-// expandLabel implements HKDF-Expand-Label of RFC 8446, section 7.1, with SHA-256 and an empty context. It returns n bytes.
+// expandLabel implements HKDF-Expand-Label of RFC 8446, section 7.1, with SHA-256 and an empty
+// context. It returns n bytes.
 func expandLabel(secret []byte, label string, n int) []byte {
 	info := []byte{byte(n >> 8), byte(n), byte(len("tls13 ") + len(label))}
 	info = append(info, "tls13 "+label...)
@@ -69,7 +72,8 @@
 	return out
 }
 
-// floodKeyUpdates completes a TLS 1.3 handshake and then sends 1000 key updates, each of which requests one in return.
+// floodKeyUpdates completes a TLS 1.3 handshake and then sends 1000 key updates, each of which
+// requests one in return.
 func floodKeyUpdates(c net.Conn, config *tls.Config) {
 	var log keyLog
 	config = config.Clone()
@@ -90,7 +94,8 @@
 	}
 }
 
-// renegotiate completes a TLS 1.2 handshake and then sends a HelloRequest, which requests renegotiation.
+// renegotiate completes a TLS 1.2 handshake and then sends a HelloRequest, which requests
+// renegotiation.
 func renegotiate(c net.Conn, config *tls.Config) {
 	var log keyLog
 	config = config.Clone()
@@ -113,13 +118,15 @@
 	c.Write(append(record, sealed...))
 }
 
-// firstBytesRecorder records the beginning of what is written to the connection, which contains the server's random.
+// firstBytesRecorder records the beginning of what is written to the connection, which contains the
+// server's random.
 type firstBytesRecorder struct {
 	net.Conn
 	first []byte // of the first writes, up to 64 bytes each
 }
 
-// Write writes p to the connection. It records up to 64 bytes of p until at least 64 bytes are recorded.
+// Write writes p to the connection. It records up to 64 bytes of p until at least 64 bytes are
+// recorded.
 func (f *firstBytesRecorder) Write(p []byte) (int, error) {
 	if len(f.first) < 64 {
 		f.first = append(f.first, p[:min(len(p), 64)]...)
@@ -127,7 +134,8 @@
 	return f.Conn.Write(p)
 }
 
-// prf implements the pseudorandom function of RFC 5246, section 5, with SHA-256. It returns n bytes.
+// prf implements the pseudorandom function of RFC 5246, section 5, with SHA-256. It returns n
+// bytes.
 func prf(secret []byte, label string, seed []byte, n int) []byte {
 	mac := func(parts ...[]byte) []byte {
 		h := hmac.New(sha256.New, secret)
--- a/internal/testbed/fake/watch.go
+++ b/internal/testbed/fake/watch.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// maxHoldMS is the longest time in milliseconds that a query may ask discovery to wait for a change.
+// maxHoldMS is the longest time in milliseconds that a query may ask discovery to wait for a
+// change.
 const maxHoldMS = 60000
 
 // watchQuery is a query for the complete list, or a watch on the changes since a revision.
@@ -22,7 +23,8 @@
 // errBadQuery reports a parameter that is not a number or is out of range.
 var errBadQuery = errors.New("bad query")
 
-// decodeQuery decodes the parameters from and hold_ms. Without from it returns a query for the complete list.
+// decodeQuery decodes the parameters from and hold_ms. Without from it returns a query for the
+// complete list.
 func decodeQuery(q url.Values) (w watchQuery, err error) {
 	w.from = completeList
 	if !q.Has("from") {
@@ -62,8 +64,9 @@
 	d.watch(w, r, q)
 }
 
-// watch answers a query for the complete list at once. It answers a watch as soon as there is a change after the query's
-// revision, or with an empty list of changes once the query's hold time has passed.
+// watch answers a query for the complete list at once. It answers a watch as soon as there is a
+// change after the query's revision, or with an empty list of changes once the query's hold time
+// has passed.
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, q watchQuery) {
 	end := time.NewTimer(time.Duration(q.holdMS) * time.Millisecond)
 	defer end.Stop()
@@ -93,7 +96,8 @@
 	}
 }
 
-// write answers with a list and then passes it to onWritten, unless the caller has closed the connection.
+// write answers with a list and then passes it to onWritten, unless the caller has closed the
+// connection.
 func (d *Discovery) write(w http.ResponseWriter, r *http.Request, list List) {
 	data, err := json.Marshal(list)
 	if err != nil {
