--- a/internal/testbed/experiment/soak/clients.go
+++ b/internal/testbed/experiment/soak/clients.go
@@ -77,13 +77,13 @@
 	f.mu.Lock()
 	f.requests = append(f.requests, &clientRequest{ClientConnection: c, process: process, class: class})
 	f.mu.Unlock()
-	stay := request.Timeout + time.Duration(500+rng.IntN(5000))*time.Millisecond
+	closeAfter := request.Timeout + time.Duration(500+rng.IntN(5000))*time.Millisecond
 	if kind == impatientClient {
-		stay = time.Duration(rng.Int64N(int64(request.Timeout) + 1))
+		closeAfter = time.Duration(rng.Int64N(int64(request.Timeout) + 1))
 	}
 	select {
 	case <-c.Ended():
-	case <-time.After(stay):
+	case <-time.After(closeAfter):
 		c.Close()
 	}
 }
@@ -91,12 +91,12 @@
 // randomRequest returns a request of a class with a random interval between lines. One in five has
 // a shorter timeout than the class's deadline.
 func randomRequest(class experiment.Class, rng *rand.Rand) Request {
-	wait := class.Deadline
+	timeout := class.Deadline
 	if rng.IntN(5) == 0 {
-		wait = time.Duration(1 + rng.Int64N(int64(class.Deadline)))
+		timeout = time.Duration(1 + rng.Int64N(int64(class.Deadline)))
 	}
-	wait = max(wait.Truncate(time.Millisecond), time.Millisecond)
-	return Request{Class: class.Name, Timeout: wait, Interval: time.Duration(50+rng.IntN(300)) * time.Millisecond}
+	timeout = max(timeout.Truncate(time.Millisecond), time.Millisecond)
+	return Request{Class: class.Name, Timeout: timeout, Interval: time.Duration(50+rng.IntN(300)) * time.Millisecond}
 }
 
 // sendMalformed sends an invalid request: half of a request line, an HTTP request, or 256 KiB of
--- a/internal/testbed/experiment/soak/clock.go
+++ b/internal/testbed/experiment/soak/clock.go
@@ -12,8 +12,8 @@
 // clockEnv is the environment variable that contains a process's clockSkew as three durations.
 const clockEnv = "CROFTLOCK_SOAK_CLOCK"
 
-// clockOffsets are the possible offsets of a wall clock. Zero occurs twice, so that every third
-// clock is right.
+// clockOffsets are the possible offsets of a wall clock. Zero occurs twice, so that one random
+// offset in three is zero.
 var clockOffsets = []time.Duration{0, 0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
 
 // randomClockSkew returns a random clockSkew in the form of an environment variable.
--- a/internal/testbed/experiment/soak/faults.go
+++ b/internal/testbed/experiment/soak/faults.go
@@ -176,11 +176,11 @@
 
 // faultDiscoveries sets a fault at one of the two discovery services of some proxies, for least to
 // most milliseconds.
-func (f *Fleet) faultDiscoveries(rng *rand.Rand, least, most int, set func(n *Node, which int, on bool)) {
-	first, count, which := rng.IntN(len(f.nodes)), 1+rng.IntN(len(f.nodes)), rng.IntN(2)
+func (f *Fleet) faultDiscoveries(rng *rand.Rand, least, most int, set func(n *Node, index int, on bool)) {
+	first, count, index := rng.IntN(len(f.nodes)), 1+rng.IntN(len(f.nodes)), rng.IntN(2)
 	setAll := func(on bool) {
 		for i := range count {
-			set(f.nodes[(first+i)%len(f.nodes)], which, on)
+			set(f.nodes[(first+i)%len(f.nodes)], index, on)
 		}
 	}
 	setAll(true)
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -42,9 +42,9 @@
 func (n *Node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	was := n.claimed
+	alreadyClaimed := n.claimed
 	n.claimed = true
-	return !was
+	return !alreadyClaimed
 }
 
 // release ends a claim.
--- a/internal/testbed/experiment/soak/shim.go
+++ b/internal/testbed/experiment/soak/shim.go
@@ -57,23 +57,23 @@
 // the standard library, which also pass descriptors to other processes, never fail.
 const proxyFlags = unix.MSG_NOSIGNAL | unix.MSG_DONTWAIT
 
-// seccompFilter is the seccomp program that sends a notification for each call in errnos.
+// seccompFilter returns a seccomp program that sends a notification for each call in errnos.
 func seccompFilter() []unix.SockFilter {
-	const nr, flags = 0, 16 + 2*8 // offsets in struct seccomp_data of the call's number and the low half of its third argument
+	const callNumber, flags = 0, 16 + 2*8 // offsets in struct seccomp_data of the call's number and the low half of its third argument
 	load := func(at uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: at}
 	}
 	ret := func(k uint32) unix.SockFilter { return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: k} }
-	equal := func(k uint32, no uint8) unix.SockFilter {
-		return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: k, Jf: no}
+	equal := func(k uint32, skipIfNot uint8) unix.SockFilter {
+		return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: k, Jf: skipIfNot}
 	}
-	p := []unix.SockFilter{load(nr)}
+	program := []unix.SockFilter{load(callNumber)}
 	for call := range errnos {
 		if call != unix.SYS_SENDMSG {
-			p = append(p, equal(uint32(call), 1), ret(unix.SECCOMP_RET_USER_NOTIF))
+			program = append(program, equal(uint32(call), 1), ret(unix.SECCOMP_RET_USER_NOTIF))
 		}
 	}
-	return append(p, equal(unix.SYS_SENDMSG, 3), load(flags), equal(proxyFlags, 1), ret(unix.SECCOMP_RET_USER_NOTIF), ret(unix.SECCOMP_RET_ALLOW))
+	return append(program, equal(unix.SYS_SENDMSG, 3), load(flags), equal(proxyFlags, 1), ret(unix.SECCOMP_RET_USER_NOTIF), ret(unix.SECCOMP_RET_ALLOW))
 }
 
 // ExecBehindShim replaces this process by the program that its shim is to run. It does nothing if
@@ -122,16 +122,16 @@
 	if err != nil {
 		return nil, err
 	}
-	theirs, ours := os.NewFile(uintptr(pair[0]), "shim"), os.NewFile(uintptr(pair[1]), "shim")
-	defer theirs.Close()
+	processEnd, shimEnd := os.NewFile(uintptr(pair[0]), "shim"), os.NewFile(uintptr(pair[1]), "shim")
+	defer processEnd.Close()
 	ready := new(atomic.Bool)
-	go s.serveProcess(ours, ready)
+	go s.serveProcess(shimEnd, ready)
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	p.Env = append(p.Env[:len(p.Env):len(p.Env)], shimEnv+"="+e.Croftlock)
-	p.Program, p.Files = self, []*os.File{theirs}
+	p.Program, p.Files = self, []*os.File{processEnd}
 	proc, err := e.Proxy(p)
 	ready.Store(true)
 	return proc, err
@@ -167,20 +167,20 @@
 func (s *Shim) InjectFailures(until time.Time) {
 	for time.Now().Before(until) {
 		s.mu.Lock()
-		quiet, failing, share := randomDuration(s.rng, 200, 3000), randomDuration(s.rng, 100, 1500), 0.02+0.4*s.rng.Float64()
+		quiet, failing, probability := randomDuration(s.rng, 200, 3000), randomDuration(s.rng, 100, 1500), 0.02+0.4*s.rng.Float64()
 		s.mu.Unlock()
 		time.Sleep(quiet)
-		s.setFailing(true, share)
+		s.setFailing(true, probability)
 		time.Sleep(failing)
 		s.setFailing(false, 0)
 	}
 }
 
 // setFailing sets whether calls fail from now on, and with which probability.
-func (s *Shim) setFailing(on bool, share float64) {
+func (s *Shim) setFailing(on bool, probability float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failing, s.failProbability = on, share
+	s.failing, s.failProbability = on, probability
 }
 
 // FailedCalls returns the number of injected failures.
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	hosts, err := fake.NewHosts("a", "s0", "s1", "s2")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("the hosts did not start: %v", err)
 	}
 	t.Cleanup(hosts.Close)
 	s := &shutdownTest{deadline: deadline, hosts: hosts.Servers}
@@ -43,7 +43,7 @@
 	s.proxy, err = env.Proxy(experiment.Setup{Name: "n0", Discovery: hosts.Discovery.Addr(), InitialList: hosts.Discovery.List(), Deadline: deadline,
 		Env: []string{asProgram + "=1"}})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("the proxy did not start: %v", err)
 	}
 	t.Cleanup(s.proxy.Kill)
 	return s
@@ -56,7 +56,7 @@
 	for range n {
 		c, err := DialAndRequest(s.proxy.Addr, Request{Class: "lab", Timeout: s.deadline, Interval: 100 * time.Millisecond})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("request to %s: %v", s.proxy.Addr, err)
 		}
 		t.Cleanup(c.Close)
 		connections = append(connections, c)
--- a/internal/testbed/fake/badserver.go
+++ b/internal/testbed/fake/badserver.go
@@ -35,17 +35,17 @@
 	b.Connections.Add(1)
 	b.trackConn(c, false)
 	defer b.closeConn(c)
-	spy := &countingConn{Conn: c, server: b}
+	counting := &countingConn{Conn: c, server: b}
 	if b.Fault.Serve != nil {
 		if b.Fault.CompletesHandshake {
 			b.Fault.Serve(c, b.config)
 			time.Sleep(200 * time.Millisecond)
 			return
 		}
-		b.Fault.Serve(spy, b.config)
+		b.Fault.Serve(counting, b.config)
 		return
 	}
-	t := tls.Server(spy, b.config)
+	t := tls.Server(counting, b.config)
 	t.SetDeadline(time.Now().Add(2 * time.Second))
 	// A proxy that completes the handshake in spite of the fault sends its request.
 	buf := make([]byte, 4096)
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -26,7 +26,7 @@
 // List is an answer of discovery: a complete endpoint list or the changes to one.
 type List struct {
 	Rev      int64   `json:"rev"`
-	Complete bool    `json:"all"` // reports whether Targets is the complete list and not only changes
+	Complete bool    `json:"all"` // whether Targets is the complete list and not only changes
 	Targets  []Entry `json:"targets"`
 }
 
@@ -148,10 +148,10 @@
 }
 
 // SetDelay sets the delay of every answer; zero means none.
-func (d *Discovery) SetDelay(by time.Duration) {
+func (d *Discovery) SetDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.delay = by
+	d.delay = delay
 }
 
 // Calls returns the number of calls received.
--- a/internal/testbed/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -62,15 +62,15 @@
 
 // Faults returns every TLS fault that a BadServer can inject.
 func Faults() []Fault {
-	sound := withCertificate(defaultSpec, trustedAuthority)
-	valid := func(from, to time.Duration) func(*PKI) certs.Spec {
+	validConfig := withCertificate(defaultSpec, trustedAuthority)
+	validBetween := func(from, to time.Duration) func(*PKI) certs.Spec {
 		return func(*PKI) certs.Spec {
 			return certs.Spec{NotBefore: time.Now().Add(from), NotAfter: time.Now().Add(to)}
 		}
 	}
 	return []Fault{
-		{Kind: "expired", Reason: "expired", Config: withCertificate(valid(-2*time.Hour, -time.Hour), trustedAuthority)},
-		{Kind: "not-yet-valid", Reason: "not_yet_valid", Config: withCertificate(valid(time.Hour, 2*time.Hour), trustedAuthority)},
+		{Kind: "expired", Reason: "expired", Config: withCertificate(validBetween(-2*time.Hour, -time.Hour), trustedAuthority)},
+		{Kind: "not-yet-valid", Reason: "not_yet_valid", Config: withCertificate(validBetween(time.Hour, 2*time.Hour), trustedAuthority)},
 		{Kind: "wrong-name", Reason: "wrong_name", Config: withCertificate(func(*PKI) certs.Spec {
 			return certs.Spec{Hosts: []string{"cat3.example.org"}}
 		}, trustedAuthority)},
@@ -81,18 +81,18 @@
 			return ServerTLSConfig(func() *tls.Certificate { return TLSCertificate(p.Revoked) }, nil), nil
 		}},
 		{Kind: "weak-key", Reason: "weak_key", Config: withCertificate(func(*PKI) certs.Spec { return certs.Spec{Key: "rsa1024"} }, trustedAuthority)},
-		{Kind: "old-version", Reason: "old_version", Config: withModification(sound, func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })},
+		{Kind: "old-version", Reason: "old_version", Config: withModification(validConfig, func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })},
 		{Kind: "no-certificate", Reason: "no_certificate", Config: func(*PKI) (*tls.Config, error) {
 			return &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return nil, nil }}, nil
 		}},
-		{Kind: "wants-a-certificate", Reason: "rejected_by_host", Config: withModification(sound, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
+		{Kind: "wants-a-certificate", Reason: "rejected_by_host", Config: withModification(validConfig, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
 		{Kind: "chain-of-1mb", Reason: "too_large", Config: longChain},
 		{Kind: "plain-text", Reason: "not_tls", Serve: func(c net.Conn, _ *tls.Config) {
 			c.Read(make([]byte, 1))
 			io.WriteString(c, "SYNTAX\r\n")
 		}},
 		{Kind: "plain-and-silent", Reason: "timeout", Serve: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }},
-		{Kind: "trickles", Reason: "timeout", Config: sound, Serve: func(c net.Conn, config *tls.Config) {
+		{Kind: "trickles", Reason: "timeout", Config: validConfig, Serve: func(c net.Conn, config *tls.Config) {
 			tls.Server(&tricklingConn{c}, config).Handshake()
 		}},
 		{Kind: "resets-at-once", Reason: "broken_off", Serve: func(c net.Conn, _ *tls.Config) { Reset(c) }},
@@ -100,7 +100,7 @@
 			c.Read(make([]byte, 4096))
 			Reset(c)
 		}},
-		{Kind: "resets-in-its-flight", Reason: "broken_off", Config: sound, Serve: func(c net.Conn, config *tls.Config) {
+		{Kind: "resets-in-its-flight", Reason: "broken_off", Config: validConfig, Serve: func(c net.Conn, config *tls.Config) {
 			tls.Server(&truncatingConn{Conn: c, bytesLeft: 200}, config).Handshake()
 			Reset(c)
 		}},
@@ -109,12 +109,12 @@
 			c.Read(make([]byte, 4096))
 			c.Write(bytes.Repeat([]byte{0xa5}, 4096))
 		}},
-		{Kind: "resets-after-handshake", Reason: "", CompletesHandshake: true, Config: sound, Serve: func(c net.Conn, config *tls.Config) {
+		{Kind: "resets-after-handshake", Reason: "", CompletesHandshake: true, Config: validConfig, Serve: func(c net.Conn, config *tls.Config) {
 			tls.Server(c, config).Handshake()
 			Reset(c)
 		}},
-		{Kind: "floods-key-updates", Reason: "", CompletesHandshake: true, Config: sound, Serve: floodKeyUpdates},
-		{Kind: "renegotiates", Reason: "", CompletesHandshake: true, TLS12: true, Config: sound, Serve: renegotiate},
+		{Kind: "floods-key-updates", Reason: "", CompletesHandshake: true, Config: validConfig, Serve: floodKeyUpdates},
+		{Kind: "renegotiates", Reason: "", CompletesHandshake: true, TLS12: true, Config: validConfig, Serve: renegotiate},
 	}
 }
 
--- a/internal/testbed/fake/tcpserver.go
+++ b/internal/testbed/fake/tcpserver.go
@@ -10,7 +10,7 @@
 	listener net.Listener
 
 	mu    sync.Mutex        // protects conns and the counts of the server that embeds it
-	conns map[net.Conn]bool // reports whether the request was answered with UP
+	conns map[net.Conn]bool // whether the request was answered with UP
 }
 
 // listen starts accepting connections and calls serve for each of them on its own goroutine.
--- a/internal/testbed/fake/tlsrecords.go
+++ b/internal/testbed/fake/tlsrecords.go
@@ -101,19 +101,19 @@
 	config = config.Clone()
 	config.KeyLogWriter, config.SessionTicketsDisabled, config.MaxVersion = &log, true, tls.VersionTLS12
 	config.CipherSuites = []uint16{tls.TLS_ECDHE_ECDSA_WITH_AES_128_GCM_SHA256}
-	w := &firstBytesRecorder{Conn: c}
-	if tls.Server(w, config).Handshake() != nil || len(w.first) < 43 {
+	recorder := &firstBytesRecorder{Conn: c}
+	if tls.Server(recorder, config).Handshake() != nil || len(recorder.first) < 43 {
 		return
 	}
 	client, master := log.lastSecret("CLIENT_RANDOM")
-	server := w.first[11:43] // the random follows the record header, handshake header and version
+	server := recorder.first[11:43] // the random follows the record header, handshake header and version
 	block := prf(master, "key expansion", append(append([]byte(nil), server...), client...), 40)
 	key, salt := block[16:32], block[36:40]
 	// The server's Finished was its first encrypted record, with sequence number 0.
 	seq := binary.BigEndian.AppendUint64(nil, 1)
 	request := []byte{0, 0, 0, 0} // HelloRequest
-	extra := append(append([]byte(nil), seq...), 22, 3, 3, 0, byte(len(request)))
-	sealed := newAESGCM(key).Seal(nil, append(append([]byte(nil), salt...), seq...), request, extra)
+	additionalData := append(append([]byte(nil), seq...), 22, 3, 3, 0, byte(len(request)))
+	sealed := newAESGCM(key).Seal(nil, append(append([]byte(nil), salt...), seq...), request, additionalData)
 	record := append([]byte{22, 3, 3, 0, byte(len(seq) + len(sealed))}, seq...)
 	c.Write(append(record, sealed...))
 }
--- a/internal/testbed/fake/watch.go
+++ b/internal/testbed/fake/watch.go
@@ -21,7 +21,7 @@
 }
 
 // errBadQuery reports a parameter that is not a number or is out of range.
-var errBadQuery = errors.New("bad query")
+var errBadQuery = errors.New("from or hold_ms is not a number or out of range")
 
 // decodeQuery decodes the parameters from and hold_ms. Without from it returns a query for the
 // complete list.
@@ -70,7 +70,7 @@
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, q watchQuery) {
 	end := time.NewTimer(time.Duration(q.holdMS) * time.Millisecond)
 	defer end.Stop()
-	for over := q.holdMS == 0; ; {
+	for expired := q.holdMS == 0; ; {
 		d.mu.Lock()
 		list, nextChange, down := d.listSince(q.from), d.nextChange, d.down
 		d.mu.Unlock()
@@ -82,7 +82,7 @@
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		if q.from < 0 || list.Rev > q.from || over {
+		if q.from < 0 || list.Rev > q.from || expired {
 			d.write(w, r, list)
 			return
 		}
@@ -91,7 +91,7 @@
 		case <-r.Context().Done():
 			return
 		case <-end.C:
-			over = true
+			expired = true
 		}
 	}
 }
