--- a/internal/testbed/experiment/soak/host.go
+++ b/internal/testbed/experiment/soak/host.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Host is an upstream host in which faults can be injected. It records each attempt that it
-// receives.
+// Host is an upstream host in which a run injects the faults that the platform injects. It records
+// each attempt that it receives.
 type Host struct {
 	UID    string
 	Zone   string
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -112,8 +112,8 @@
 	return list
 }
 
-// running returns the proxy's processes that have not ended, two during a hot restart. A list
-// written to one of them counts as written to both.
+// running returns the proxy's processes that have not ended, two during a hot restart. They are
+// one proxy, so a list written to one of them counts as written to both.
 func (n *Node) running() (processes []*proxyProcess) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/experiment/soak/oracle.go
+++ b/internal/testbed/experiment/soak/oracle.go
@@ -108,8 +108,8 @@
 }
 
 // checkAnswer checks that the request was answered in time. It allows a request without an answer
-// if its client closed the connection, its process was killed by a fault before the answer was due,
-// or the answer is not yet due.
+// if its client closed the connection, its process was killed by a fault before the answer was due
+// and so could no longer answer, or the answer is not yet due.
 func (o *oracle) checkAnswer(r *clientRequest, outcome Outcome) {
 	due := outcome.Sent.Add(r.Request.Timeout + answerGrace + o.slack + r.process.totalPause())
 	switch {
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -148,10 +148,10 @@
 }
 
 // SetDelay sets the delay of every answer; zero means none.
-func (d *Discovery) SetDelay(delay time.Duration) {
+func (d *Discovery) SetDelay(answerDelay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.delay = delay
+	d.delay = answerDelay
 }
 
 // Calls returns the number of calls received.
