--- a/internal/testbed/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -10,22 +10,24 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Fault is a fault in a server's TLS, and what a proxy has to log of it.
+// Fault describes a TLS fault of a server and the reason that a proxy must log for it.
 type Fault struct {
 	Kind   string
-	Reason string // as the proxy logs it; "": it logs none
-	// CompletesHandshake: the handshake is completed, so the proxy may send its request; the server breaks the connection afterwards and
-	// reads nothing. Else no byte of a request may arrive.
+	Reason string // reason that the proxy logs; empty if it logs none
+	// CompletesHandshake reports whether the server completes the handshake and then breaks the
+	// connection without reading. Then the proxy may send its request; otherwise no byte of a
+	// request may reach the server.
 	CompletesHandshake bool
-	TLS12              bool                                 // the server and the proxy's settings use TLS 1.2
-	Config             configFunc                           // nil where the fault needs none
-	Serve              func(c net.Conn, config *tls.Config) // handles a connection; nil: a handshake by Config
+	TLS12              bool                                 // the server and the proxy's settings use TLS 1.2 instead of TLS 1.3
+	Config             configFunc                           // returns the server's configuration; nil if the fault needs none
+	Serve              func(c net.Conn, config *tls.Config) // handles a connection; if nil, the server does a handshake with Config
 }
 
-// configFunc makes a server's side of TLS.
+// configFunc returns a server's TLS configuration.
 type configFunc func(p *PKI) (*tls.Config, error)
 
-// withCertificate makes a configuration with a certificate of some kind by an authority.
+// withCertificate returns a configFunc that presents a certificate of the given spec, issued by the
+// given authority. If the spec has no hosts, the certificate is for the server's name.
 func withCertificate(spec func(p *PKI) certs.Spec, issuer func(p *PKI) *Authority) configFunc {
 	return func(p *PKI) (*tls.Config, error) {
 		s := spec(p)
@@ -47,7 +49,7 @@
 
 func defaultSpec(*PKI) certs.Spec { return certs.Spec{} }
 
-// withModification makes a configuration with a change.
+// withModification returns a configFunc that applies change to the configuration that base returns.
 func withModification(base configFunc, change func(*tls.Config)) configFunc {
 	return func(p *PKI) (*tls.Config, error) {
 		c, err := base(p)
@@ -58,17 +60,17 @@
 	}
 }
 
-// Faults are all faults of servers.
+// Faults returns every TLS fault that a BadServer can inject.
 func Faults() []Fault {
-	sound := withCertificate(defaultSpec, trustedAuthority)
-	valid := func(from, to time.Duration) func(*PKI) certs.Spec {
+	validConfig := withCertificate(defaultSpec, trustedAuthority)
+	validBetween := func(from, to time.Duration) func(*PKI) certs.Spec {
 		return func(*PKI) certs.Spec {
 			return certs.Spec{NotBefore: time.Now().Add(from), NotAfter: time.Now().Add(to)}
 		}
 	}
 	return []Fault{
-		{Kind: "expired", Reason: "expired", Config: withCertificate(valid(-2*time.Hour, -time.Hour), trustedAuthority)},
-		{Kind: "not-yet-valid", Reason: "not_yet_valid", Config: withCertificate(valid(time.Hour, 2*time.Hour), trustedAuthority)},
+		{Kind: "expired", Reason: "expired", Config: withCertificate(validBetween(-2*time.Hour, -time.Hour), trustedAuthority)},
+		{Kind: "not-yet-valid", Reason: "not_yet_valid", Config: withCertificate(validBetween(time.Hour, 2*time.Hour), trustedAuthority)},
 		{Kind: "wrong-name", Reason: "wrong_name", Config: withCertificate(func(*PKI) certs.Spec {
 			return certs.Spec{Hosts: []string{"cat3.example.org"}}
 		}, trustedAuthority)},
@@ -79,18 +81,18 @@
 			return ServerTLSConfig(func() *tls.Certificate { return TLSCertificate(p.Revoked) }, nil), nil
 		}},
 		{Kind: "weak-key", Reason: "weak_key", Config: withCertificate(func(*PKI) certs.Spec { return certs.Spec{Key: "rsa1024"} }, trustedAuthority)},
-		{Kind: "old-version", Reason: "old_version", Config: withModification(sound, func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })},
+		{Kind: "old-version", Reason: "old_version", Config: withModification(validConfig, func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })},
 		{Kind: "no-certificate", Reason: "no_certificate", Config: func(*PKI) (*tls.Config, error) {
 			return &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return nil, nil }}, nil
 		}},
-		{Kind: "wants-a-certificate", Reason: "rejected_by_host", Config: withModification(sound, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
+		{Kind: "wants-a-certificate", Reason: "rejected_by_host", Config: withModification(validConfig, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
 		{Kind: "chain-of-1mb", Reason: "too_large", Config: longChain},
 		{Kind: "plain-text", Reason: "not_tls", Serve: func(c net.Conn, _ *tls.Config) {
 			c.Read(make([]byte, 1))
 			io.WriteString(c, "SYNTAX\r\n")
 		}},
 		{Kind: "plain-and-silent", Reason: "timeout", Serve: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }},
-		{Kind: "trickles", Reason: "timeout", Config: sound, Serve: func(c net.Conn, config *tls.Config) {
+		{Kind: "trickles", Reason: "timeout", Config: validConfig, Serve: func(c net.Conn, config *tls.Config) {
 			tls.Server(&tricklingConn{c}, config).Handshake()
 		}},
 		{Kind: "resets-at-once", Reason: "broken_off", Serve: func(c net.Conn, _ *tls.Config) { Reset(c) }},
@@ -98,7 +100,7 @@
 			c.Read(make([]byte, 4096))
 			Reset(c)
 		}},
-		{Kind: "resets-in-its-flight", Reason: "broken_off", Config: sound, Serve: func(c net.Conn, config *tls.Config) {
+		{Kind: "resets-in-its-flight", Reason: "broken_off", Config: validConfig, Serve: func(c net.Conn, config *tls.Config) {
 			tls.Server(&truncatingConn{Conn: c, bytesLeft: 200}, config).Handshake()
 			Reset(c)
 		}},
@@ -107,12 +109,12 @@
 			c.Read(make([]byte, 4096))
 			c.Write(bytes.Repeat([]byte{0xa5}, 4096))
 		}},
-		{Kind: "resets-after-handshake", Reason: "", CompletesHandshake: true, Config: sound, Serve: func(c net.Conn, config *tls.Config) {
+		{Kind: "resets-after-handshake", Reason: "", CompletesHandshake: true, Config: validConfig, Serve: func(c net.Conn, config *tls.Config) {
 			tls.Server(c, config).Handshake()
 			Reset(c)
 		}},
-		{Kind: "floods-key-updates", Reason: "", CompletesHandshake: true, Config: sound, Serve: floodKeyUpdates},
-		{Kind: "renegotiates", Reason: "", CompletesHandshake: true, TLS12: true, Config: sound, Serve: renegotiate},
+		{Kind: "floods-key-updates", Reason: "", CompletesHandshake: true, Config: validConfig, Serve: floodKeyUpdates},
+		{Kind: "renegotiates", Reason: "", CompletesHandshake: true, TLS12: true, Config: validConfig, Serve: renegotiate},
 	}
 }
 
@@ -125,7 +127,8 @@
 	return ServerTLSConfig(func() *tls.Certificate { return TLSCertificate(pair) }, nil), nil
 }
 
-// longChain presents a certificate and a megabyte of others.
+// longChain returns a configuration whose chain is a valid certificate followed by 1 MiB of
+// unrelated ones.
 func longChain(p *PKI) (*tls.Config, error) {
 	pair, err := p.Trusted.Issue(certs.Spec{Hosts: []string{p.ServerName}})
 	if err != nil {
@@ -138,7 +141,8 @@
 	return ServerTLSConfig(func() *tls.Certificate { return c }, nil), nil
 }
 
-// Reset closes a connection with a TCP reset.
+// Reset closes c with a TCP reset if c has a SetLinger method, as TCP connections do. Otherwise it
+// only closes c.
 func Reset(c net.Conn) {
 	if t, ok := c.(interface{ SetLinger(int) error }); ok {
 		t.SetLinger(0)
@@ -146,10 +150,10 @@
 	c.Close()
 }
 
-// tricklingConn writes a byte at a time, slowly.
+// tricklingConn writes one byte every 5 ms.
 type tricklingConn struct{ net.Conn }
 
-// Write writes a byte each 5 ms.
+// Write writes p byte by byte with a pause of 5 ms after each.
 func (t *tricklingConn) Write(p []byte) (int, error) {
 	for i := range p {
 		if _, err := t.Conn.Write(p[i : i+1]); err != nil {
@@ -160,13 +164,13 @@
 	return len(p), nil
 }
 
-// truncatingConn fails writes after some bytes.
+// truncatingConn fails writes once it has written bytesLeft bytes.
 type truncatingConn struct {
 	net.Conn
-	bytesLeft int
+	bytesLeft int // that Write still accepts
 }
 
-// Write writes up to the bytes left.
+// Write writes p, or the bytes left of it, in which case it returns io.ErrClosedPipe.
 func (t *truncatingConn) Write(p []byte) (int, error) {
 	n := min(t.bytesLeft, len(p))
 	t.bytesLeft -= n
