--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -21,14 +21,15 @@
 // call is one request to discovery.
 type call struct {
 	client       *Client
-	fromRevision int64  // the client's revision when the call started
-	startedAt    int64  // Unix time in nanoseconds
-	target       string // path and query
-	dial         *netio.Dial
-	conn         *netio.Conn
-	timer        *netio.Timer
-	reused       bool                                    // the call uses the idle connection of an earlier one
-	done         func(event proxy.WatchEvent, err error) // nil once the call has ended
+	fromRevision int64        // the client's revision when the call started
+	startedAt    int64        // Unix time in nanoseconds
+	target       string       // path and query
+	dial         *netio.Dial  // nil unless the connection is being opened
+	conn         *netio.Conn  // nil until the connection is established
+	timer        *netio.Timer // ends the call at its timeout
+	reused       bool         // the call uses the idle connection of an earlier one
+	// done is called with the result of the call. It is nil once the call has ended.
+	done func(event proxy.WatchEvent, err error)
 }
 
 // startCall starts a call, on the idle connection if there is one. It calls done once, on the loop, unless
@@ -141,7 +142,7 @@
 	c.redirectedAt = 0
 	switch {
 	case event.Version < c.revision && q.fromRevision != c.revision:
-		// Another call has brought a newer list meanwhile, which this answer must not undo.
+		// Another call has returned a newer list meanwhile, which this answer must not undo.
 		return proxy.WatchEvent{Kind: balancer.ListDelta, Version: c.revision}
 	case event.Version < c.revision && event.Kind == balancer.ListDelta:
 		// The service has restarted its revisions and sent only a change: the complete list is fetched next.
@@ -165,7 +166,7 @@
 // idleHandler handles the events of an idle connection, which is kept for the next call.
 type idleHandler struct{ client *Client }
 
-// Data closes the connection, because it received data without a call.
+// Data closes the connection, because discovery must not send anything without a call.
 func (h idleHandler) Data(c *netio.Conn) {
 	c.Close()
 }
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -12,6 +12,7 @@
 )
 
 const (
+	// hostsPath is the path of the endpoint list at discovery.
 	hostsPath = "/discovery/hosts"
 	// minWatchTimeout and maxWatchTimeout bound how long discovery may hold a call of the watch. Between
 	// these bounds the time is watchTimeoutPerProxy for each proxy that uses discovery, so that up to 80
@@ -26,8 +27,10 @@
 	// fullListTimeout bounds a call for the complete list. It is longer than discovery's own limit of 2 s: a
 	// call that is ended and repeated sooner would add to the load of a slow discovery.
 	fullListTimeout = 2300 * time.Millisecond
-	connectTimeout  = time.Second
-	inputLimit      = maxHeadBytes + 2*maxBodyBytes
+	// connectTimeout bounds the opening of a connection.
+	connectTimeout = time.Second
+	// inputLimit is the number of bytes of unread input at which reading from a connection pauses.
+	inputLimit = maxHeadBytes + 2*maxBodyBytes
 	// redirectSettleTime is how long after a redirect the client itself retries failed calls on the new
 	// address, every redirectRetryPause: the list of that address is due 4 s after the redirect, and the
 	// pause of the decision module may be longer.
@@ -52,17 +55,17 @@
 	answerTimeout time.Duration // how long the answer may take beyond that
 	followsAgent  bool          // the service is an agent on this machine; see FollowAgent
 
-	revision       int64 // of the client's list, in the numbering of the service at address; negative if it has none
-	redirectedAt   int64 // Unix time in ns of a redirect to an address that has not answered yet, else 0
-	retryTimer     *netio.Timer
-	watching       bool        // the watch is on
-	firstAnswerDue bool        // the next answer is the first of the watch, which is passed on even if it is empty
-	watch          *call       // the watch's call in flight; may be nil
-	reopened       bool        // the watch was reopened after silence, and has had no answer since
-	silentCalls    int         // consecutive calls of the watch without an answer
-	fetch          *call       // the call for the complete list in flight; may be nil
-	idleConn       *netio.Conn // a connection whose last response is complete; may be nil
-	lastFailure    string      // text of the last failure, until a call succeeds
+	revision       int64        // of the client's list, in the numbering of the service at address; negative if it has none
+	redirectedAt   int64        // Unix time in ns of a redirect to an address that has not answered yet, else 0
+	retryTimer     *netio.Timer // makes the next call of the watch after a failure
+	watching       bool         // the watch is on
+	firstAnswerDue bool         // the next answer is the first of the watch, which is passed on even if it is empty
+	watch          *call        // the watch's call in flight; may be nil
+	reopened       bool         // the watch was reopened after silence, and has had no answer since
+	silentCalls    int          // consecutive calls of the watch without an answer
+	fetch          *call        // the call for the complete list in flight; may be nil
+	idleConn       *netio.Conn  // a connection whose last response is complete; may be nil
+	lastFailure    string       // text of the last failure, until a call succeeds
 }
 
 // Options configure a Client.
@@ -184,8 +187,8 @@
 }
 
 // fullListWait returns the timeout of a call for the complete list. An agent on this machine answers at once
-// or is silent, so the timeout is short. It doubles with each silent call, in case the list is so large that
-// it takes longer.
+// or is silent, so the timeout is short. It doubles with each consecutive silent call, up to fullListTimeout,
+// in case the list is so large that it takes longer.
 func (c *Client) fullListWait() time.Duration {
 	if !c.followsAgent {
 		return fullListTimeout
@@ -193,9 +196,9 @@
 	return min(fullListTimeout, c.answerTimeout<<min(c.silentCalls, 6))
 }
 
-// reopen repeats the call of a silent watch at once. The decision module's pause grows with the fleet, and
-// the list is due sooner. The watches of a fleet fall silent at different times, so their calls do not come
-// together. The idle connection is closed, since it may be as dead as the one that was used. A second
+// reopen repeats the call of a silent watch at once, because the decision module's pause grows with the fleet
+// and the list is due sooner. The watches of a fleet fall silent at different times, so their calls do not
+// come together. The idle connection is closed, since it may be as dead as the one that was used. A second
 // failure is reported.
 func (c *Client) reopen() {
 	c.reopened = true
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -15,6 +15,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
+// responseSeeds are inputs for parseResponse. The first four and "HTTP/1.1 200\r\n\r\n" are valid.
 var responseSeeds = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 	"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: x\r\n\r\nrest",
@@ -82,7 +83,7 @@
 	}
 	if h := ch.Hosts[0]; h.StartedAt != 1700000000123000000 || h.State != balancer.Draining || h.Address != "1.2.3.4:5" ||
 		h.Weight != 1.5 || h.Cell != 3 || h.Zone != "a" || h.Kind != "m" {
-		t.Fatalf("the first host is %+v, want the values of the list", h)
+		t.Fatalf("the first host is %+v, want StartedAt 1700000000123000000, draining, 1.2.3.4:5, weight 1.5, cell 3, zone a, kind m", h)
 	}
 	for _, bad := range []string{"", "[]", `{"all":true}`, `{"rev":1,"targets":[{"uid":"s","endpoint":"x","state":"odd"}]}`,
 		`{"rev":1,"targets":[{"uid":"s","state":"up"}]}`, `{"rev":1,"targets":[{"endpoint":"x","state":"up"}]}`} {
@@ -155,7 +156,7 @@
 	}
 }
 
-// Watches wait longer in a larger fleet, so that all proxies together make at most four calls a second.
+// Watches wait longer in a larger fleet, so that up to 80 proxies together make at most four calls a second.
 func TestWatchesWaitLongerInALargerFleet(t *testing.T) {
 	for _, c := range []struct {
 		proxies int
@@ -195,7 +196,7 @@
 		return testing.AllocsPerRun(5, func() {
 			ch, err := ParseList(data)
 			if err != nil || len(ch.Hosts) != n {
-				t.Fatalf("ParseList of %d hosts returned %d, %v", n, len(ch.Hosts), err)
+				t.Fatalf("ParseList of %d hosts returned %d hosts and the error %v", n, len(ch.Hosts), err)
 			}
 		}) / float64(n)
 	}
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -93,7 +93,7 @@
 	return h, nil
 }
 
-// setField sets what one header field specifies. name must be in lower case. Other fields are ignored.
+// setField applies one header field. name must be in lower case. Fields with other names are ignored.
 func (h *responseHead) setField(name, value string) error {
 	switch name {
 	case "content-length":
--- a/internal/dataplane/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -29,9 +29,11 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
+// hostStates maps discovery's names of host states.
 var hostStates = map[string]balancer.HostState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
 
-// ParseList parses an endpoint list or a change of it, in the form used by discovery and by the setting known.
+// ParseList parses an endpoint list or a change of it, in the form used by discovery and by the field "known"
+// of the platform configuration.
 func ParseList(data []byte) (proxy.WatchEvent, error) {
 	var l list
 	if err := json.Unmarshal(data, &l); err != nil {
--- a/internal/dataplane/lineproto/connector.go
+++ b/internal/dataplane/lineproto/connector.go
@@ -8,7 +8,8 @@
 )
 
 // Opener opens a connection to an upstream host. It calls done once, on the loop, with the connection or
-// an error, unless drop is called first. limit is the number of bytes of input at which reading pauses.
+// an error, unless the returned function is called first, which cancels the attempt. limit is the number of
+// bytes of input at which reading pauses.
 type Opener func(to proxy.Target, timeout time.Duration, limit int, h netio.Handler,
 	done func(*netio.Conn, *netio.Error)) (cancel func())
 
@@ -33,11 +34,12 @@
 	return &Connector{loop: l, open: open, fields: fields}
 }
 
-// Start starts an upstream request and reports its progress to events. deadline, as Unix time in
-// nanoseconds, ends the wait for the host's answer. connect is the timeout for opening the connection.
-func (c *Connector) Start(to proxy.Target, requestLine proxy.RequestLine, deadline int64, connect time.Duration,
+// Start starts an upstream request and reports its progress to events. deadline is the Unix time, in
+// nanoseconds, at which the core stops waiting for the host's answer; Start only sends the time left to the
+// host. connectTimeout bounds the opening of the connection.
+func (c *Connector) Start(to proxy.Target, requestLine proxy.RequestLine, deadline int64, connectTimeout time.Duration,
 	events proxy.UpstreamEvents) proxy.Upstream {
 	u := &upstream{loop: c.loop, events: events, requestLine: requestLine, deadline: deadline, reportFields: c.fields}
-	u.cancelDial = c.open(to, connect, inputLimit, u, u.connected)
+	u.cancelDial = c.open(to, connectTimeout, inputLimit, u, u.connected)
 	return u
 }
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -14,17 +14,17 @@
 type downstream struct {
 	front     *Front
 	conn      *netio.Conn
-	request   *proxy.Request
-	idleTimer *netio.Timer
-	idleEntry *list.Element // in front.idleClients; nil once the connection has a request
-	admitted  bool          // the core counts the connection
-	accepted  bool          // a host has accepted the request
-	pinged    bool          // the client has sent PING
+	request   *proxy.Request // nil until the request line has been read
+	idleTimer *netio.Timer   // ends the connection if no request arrives in time
+	idleEntry *list.Element  // in front.idleClients; nil once the connection has a request
+	admitted  bool           // the core counts the connection
+	accepted  bool           // a host has accepted the request
+	pinged    bool           // the client has sent PING
 }
 
 var _ proxy.Downstream = (*downstream)(nil)
 
-// Data reads the request line if it has not come yet, and relays lines once a host has accepted.
+// Data reads the request line if it has not been read yet, and relays lines once a host has accepted.
 func (d *downstream) Data(c *netio.Conn) {
 	if d.request == nil && !d.readRequestLine() {
 		return
@@ -43,8 +43,8 @@
 	d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.EndedLocally, Detail: cause})
 }
 
-// readRequestLine reads lines up to the request line. It returns false if that has not come completely or
-// the connection has ended.
+// readRequestLine reads lines up to the request line. It returns false if that has not arrived completely,
+// is invalid or is rejected, or if the connection has ended.
 func (d *downstream) readRequestLine() bool {
 	for !d.conn.Ended() {
 		line, err := CutLine(d.conn.Input())
--- a/internal/dataplane/lineproto/ends_test.go
+++ b/internal/dataplane/lineproto/ends_test.go
@@ -11,26 +11,27 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// queueingBalancer answers no request. It sends the ids of requests that arrive to arrived, and of those
+// silentBalancer answers no request. It sends the ids of requests that arrive to arrived, and of those
 // whose client has left to left.
-type queueingBalancer struct {
+type silentBalancer struct {
 	rejectingBalancer
 	arrived, left chan string
 }
 
-func newQueueingBalancer() *queueingBalancer {
-	return &queueingBalancer{arrived: make(chan string, 8), left: make(chan string, 8)}
+func newSilentBalancer() *silentBalancer {
+	return &silentBalancer{arrived: make(chan string, 8), left: make(chan string, 8)}
 }
 
-func (m *queueingBalancer) RequestArrived(_ balancer.Time, q balancer.Request) { m.arrived <- q.ID }
-func (m *queueingBalancer) ClientLeft(_ balancer.Time, id string)              { m.left <- id }
+func (m *silentBalancer) RequestArrived(_ balancer.Time, q balancer.Request) { m.arrived <- q.ID }
+func (m *silentBalancer) ClientLeft(_ balancer.Time, id string)              { m.left <- id }
 
+// openingID is the request ID in opening.
 const openingID = "9b1f03aa5c7e2d41"
 
 // Reading pauses for a client that fills its buffer before its answer, so that its end would not be noticed
 // and attempts would continue. The request must therefore end at once.
 func TestMuchSentBeforeTheAnswer(t *testing.T) {
-	m := newQueueingBalancer()
+	m := newSilentBalancer()
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
 	much := strings.Repeat("M\r\n", inputLimit/3+1)
 
@@ -53,7 +54,7 @@
 
 // A client sends a request while its idle connection is being ended. The request must still be answered.
 func TestIdleClientIsRejected(t *testing.T) {
-	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
+	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newSilentBalancer() })
 	idle := r.dial()
 	exchange(t, r.dial(), "PING\r\n", "PONG\r\n") // the loop has accepted both connections after this
 	r.runOnLoop(func() { r.front.EndIdle(false) })
@@ -63,7 +64,7 @@
 
 // A shutdown with no other connection left waits for a client that has sent part of its first line.
 func TestShutdownWaitsForAFirstLine(t *testing.T) {
-	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
+	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newSilentBalancer() })
 	partial, pinging := r.dial(), r.dial()
 	io.WriteString(partial, opening[:20])
 	exchange(t, pinging, "PING\r\n", "PONG\r\n")
@@ -95,7 +96,7 @@
 
 // A client that closes its direction counts as one that has left, since the proxy cannot distinguish the two.
 func TestAHalfClosedClientHasLeft(t *testing.T) {
-	m := newQueueingBalancer()
+	m := newSilentBalancer()
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
 	c := r.dial()
 	io.WriteString(c, opening)
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -55,8 +55,8 @@
 	return d
 }
 
-// EndIdle ends the connections that have sent nothing, and if partial is true also those that have sent
-// part of a first line. It returns the number of connections without a request that are left.
+// EndIdle ends the connections that have sent nothing or nothing but PING, and if partial is true also those
+// that have sent part of a line. It returns the number of connections without a request that are left.
 func (f *Front) EndIdle(partial bool) int {
 	for d := range f.idleClients.All() {
 		if !d.conn.Ended() && (partial || len(d.conn.Input()) == 0) {
@@ -66,7 +66,7 @@
 	return f.idleClients.Len()
 }
 
-// Resume resumes an open connection that another process has handed over.
+// Resume resumes an open connection, with its request, that another process has handed over.
 func (f *Front) Resume(connection *proxy.HandedOverConnection) {
 	d := &downstream{front: f, admitted: true, accepted: true}
 	u := &upstream{loop: f.loop, stage: netio.Up}
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -116,6 +116,7 @@
 	}
 }
 
+// opening is a valid request line.
 const opening = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=c,t=t,d=2000\r\n"
 
 // Clients that send no request are evicted, so that they use no capacity of those with a request.
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -18,6 +18,7 @@
 	checkIdleTimeout = 10 * time.Second
 )
 
+// statsLine asks a host for its load.
 var statsLine = []byte("STATS\r\n")
 
 // HealthChecks polls upstream hosts for their load. It uses one connection per host, which stays open
@@ -41,18 +42,19 @@
 type hostCheck struct {
 	checks     *HealthChecks
 	host       proxy.Target
-	cancelDial func() // nil unless the connection is being opened
-	conn       *netio.Conn
-	done       func(status balancer.AttemptStatus, load []float64) // nil if no health check is in flight
-	timer      *netio.Timer
-	usedAt     int64 // start of the last health check, as Unix time in nanoseconds
+	cancelDial func()      // nil unless the connection is being opened
+	conn       *netio.Conn // nil until the connection is established
+	// done is called with the result of the health check in flight. It is nil if there is none.
+	done   func(status balancer.AttemptStatus, load []float64)
+	timer  *netio.Timer // ends a health check at checkTimeout, and an idle connection at checkIdleTimeout
+	usedAt int64        // start of the last health check, as Unix time in nanoseconds
 }
 
 var _ proxy.HealthChecker = (*HealthChecks)(nil)
 
 // Check polls a host for its load, and calls done exactly once, on the loop. load is nil if the host
 // reported none. It does not poll, and reports TooLate, after any host has answered NO, or if all
-// connections are in use.
+// connections are in use. An earlier health check of the host that is in flight ends with Cancelled.
 func (h *HealthChecks) Check(host proxy.Target, done func(status balancer.AttemptStatus, load []float64)) {
 	q := h.byHost[host.ID]
 	if q != nil && (q.done != nil || q.host != host) {
--- a/internal/dataplane/lineproto/healthchecks_test.go
+++ b/internal/dataplane/lineproto/healthchecks_test.go
@@ -15,6 +15,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
+// reports are load reports, of which the first four and the last are valid for the fields x0 and pending.
 var reports = []string{"x0=0.5,queue=2", "queue=2,x0=0.5", "x0=0.5,new=1,queue=2", "x0=0.5", "x0", "x0=", "x0=soon", "x0=NaN", "=1", ",", "", "x0=0x1p4",
 	"pending=2,x0=0.5"}
 
@@ -30,11 +31,11 @@
 		}
 	}
 	if ParseReport("x0=1", nil) != nil {
-		t.Error("ParseReport returned a report without fields, want nil")
+		t.Error("ParseReport(\"x0=1\", nil) returned a report, want nil")
 	}
 }
 
-// FuzzReport checks that ParseReport returns as many figures as the settings have fields, or nil, for any input.
+// FuzzReport checks that ParseReport returns nil or one figure for each field, for any input.
 func FuzzReport(f *testing.F) {
 	for _, s := range reports {
 		f.Add(s)
@@ -46,7 +47,8 @@
 	})
 }
 
-// checkRig is a host that sends the given answers to health checks, and a checker with capacity for one connection.
+// checkRig is a host that sends the given answers to health checks, and a checker with capacity for one
+// connection.
 type checkRig struct {
 	t        *testing.T
 	loop     *netio.Loop
@@ -54,9 +56,10 @@
 	address  string
 	answers  chan string   // the host's answers in order; each is sent in two pieces
 	received chan net.Conn // the connection of each health check that the host has read
-	results  chan string
+	results  chan string   // the status and the load of each health check that has ended
 }
 
+// newCheckRig starts a host and a checker of it.
 func newCheckRig(t *testing.T) *checkRig {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -41,7 +41,7 @@
 // trimLineEnd returns a line without its CRLF.
 func trimLineEnd(line []byte) []byte { return bytes.TrimSuffix(line, []byte("\r\n")) }
 
-// cutField returns the first field of a line, and what follows the blank behind it without the CRLF.
+// cutField splits a line, without its CRLF, at the first blank.
 func cutField(line []byte) (string, string) {
 	first, rest, _ := strings.Cut(string(trimLineEnd(line)), " ")
 	return first, rest
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -100,7 +100,7 @@
 		}
 		again.Wait, again.HasWait = o.Wait, o.HasWait
 		if again.Opening != o.Opening {
-			t.Fatalf("WithWait of %q = %q, which differs in more than d", l, out)
+			t.Fatalf("WithWait of %q = %q, which parses to %+v, want %+v", l, out, again.Opening, o.Opening)
 		}
 		ParseHostLine(l)
 	})
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -13,18 +13,19 @@
 	loop          *netio.Loop
 	events        proxy.UpstreamEvents
 	requestLine   proxy.RequestLine
-	reportFields  []string // of the load report at the end of an answer; empty if hosts send none
-	deadline      int64    // end of the wait for the host's answer, as Unix time in nanoseconds
-	cancelDial    func()   // nil unless the connection is being opened
-	conn          *netio.Conn
-	stage         netio.Stage
+	reportFields  []string     // of the load report at the end of an answer; empty if hosts send none
+	deadline      int64        // end of the wait for the host's answer, as Unix time in nanoseconds
+	cancelDial    func()       // nil unless the connection is being opened
+	conn          *netio.Conn  // nil until the connection is established
+	stage         netio.Stage  // progress of the request
 	connectionEnd *netio.Error // how the host ended the connection, whose last lines may not be relayed yet; nil if it has not
-	ended         bool
+	ended         bool         // no further event is reported
 }
 
 var _ proxy.Upstream = (*upstream)(nil)
 
-// connected sends the request line on the new connection, or reports that connecting has failed.
+// connected sends the request line on the new connection, or reports that connecting has failed. It closes
+// the connection if the line may not be sent any more.
 func (u *upstream) connected(c *netio.Conn, err *netio.Error) {
 	u.cancelDial = nil
 	if err != nil {
--- a/internal/dataplane/netio/attach.go
+++ b/internal/dataplane/netio/attach.go
@@ -18,9 +18,9 @@
 // the poller.
 type pollerEnvironment struct {
 	sync.Mutex
-	loop    *Loop
-	barrier *pollerBarrier
-	gate    *loopGate
+	loop    *Loop          // guarded by the mutex; replaced by each Attach
+	barrier *pollerBarrier // set by the first Attach
+	gate    *loopGate      // set by the first Attach
 }
 
 // whilePollerParked calls f while the poller is parked between two sockets. It must be called on the
--- a/internal/dataplane/netio/conn.go
+++ b/internal/dataplane/netio/conn.go
@@ -19,8 +19,8 @@
 	// Writable is called when the unsent rest of a line has been written, so that Write accepts
 	// lines again.
 	Writable(c *Conn)
-	// Closed is called, last of all, when the connection ends and the handler did not end it. That
-	// includes a panic of the handler and limits that this side enforces.
+	// Closed is called when the connection ends and the handler did not end it, also after a panic of
+	// the handler or at a limit that this side enforces. No other call follows.
 	Closed(c *Conn, err *Error)
 }
 
@@ -36,19 +36,20 @@
 
 // Conn is one connection. It buffers unread input. Output goes to the kernel at once; if the kernel
 // accepts only part of a line, the rest is buffered and Write accepts no further line until it is
-// sent. The sender of those lines then leaves its bytes in its own connection's input, and reading
-// pauses on a connection whose input is not consumed. That is the back-pressure.
+// sent. A handler that relays lines to the connection then leaves them in the input of the connection
+// from which they came, and reading pauses on a connection whose input is not consumed. That is the
+// back-pressure.
 type Conn struct {
 	loop            *Loop
 	handler         Handler
-	transport       netpoll.Connection
+	transport       netpoll.Connection // nil until netpoll first watches the socket
 	input           Buffer
 	layer           Layer // nil if there is none
 	layerHasMore    bool  // the layer may hold more than fitted into the input
 	inputLimit      int   // bytes of input at which reading pauses
 	paused          bool  // netpoll does not watch the socket
-	refillScheduled bool
-	watchFailures   int // consecutive failures to register the socket with the poller
+	refillScheduled bool  // a task that reads from the layer is queued
+	watchFailures   int   // consecutive failures to register the socket with the poller
 	output          unsentOutput
 	ended           bool // Closed was called, or this side closed
 	ending          endingState
@@ -72,7 +73,7 @@
 type endingState struct {
 	unsentDeadline int64 // Unix time in ns until which unsent bytes may still go out
 	abort          bool  // Abort was called
-	finishing      bool  // Finish was called
+	finishing      bool  // Finish was called, and the socket is still open
 	discardedBytes int   // input that arrived after the end
 	lingerTimer    *Timer
 }
@@ -82,7 +83,7 @@
 type socketState struct {
 	mu        sync.Mutex
 	fd        int  // negative if the connection has no descriptor
-	detaching bool // netpoll's close callback means a pause, not the end
+	detaching bool // netpoll is detaching the socket, so its close callback means a pause, not the end
 	closing   bool // this side has closed the connection
 }
 
@@ -137,7 +138,8 @@
 // Consume, and at most until the handler returns.
 func (c *Conn) Input() []byte { return c.input.Bytes() }
 
-// Consume discards the first n bytes of the input, and resumes reading once enough is consumed.
+// Consume discards the first n bytes of the input. It resumes reading from a paused connection once the
+// input is below half of its limit.
 func (c *Conn) Consume(n int) {
 	c.input.Consume(n)
 	if c.paused && !c.ended && c.input.Len() < c.inputLimit/2 {
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -35,7 +35,7 @@
 	deadline int64 // Unix time in nanoseconds
 	handler  Handler
 	done     func(*Conn, *Error)
-	ended    bool // done was called or Cancel came first; guarded by the dialer's mu
+	ended    bool // done or Cancel was called; guarded by the dialer's mu
 	expiry   *Timer
 }
 
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -13,10 +13,10 @@
 // lingerTimeout bounds how long an ended connection waits to deliver its last line and for its peer to hang up.
 const lingerTimeout = time.Second
 
-// maxLingerInput is how many bytes of input are discarded meanwhile. A peer that sends more is not reading.
+// maxLingerInput bounds the input, in bytes, discarded after Finish. A peer that sends more is not reading.
 const maxLingerInput = 1 << 20
 
-// transportClosed is netpoll's callback for a closed or detached socket. netpoll may call it on its own goroutine.
+// transportClosed is netpoll's callback for a closed or detached socket. It may run on a goroutine of netpoll.
 func (c *Conn) transportClosed(np netpoll.Connection) error {
 	environment.gate.releasePoller()
 	cause := Ended
@@ -94,7 +94,7 @@
 	return duplicate
 }
 
-// watchKeptDescriptor makes netpoll watch a dropped socket again. tail is input that arrived before.
+// watchKeptDescriptor makes netpoll watch a socket that it has dropped. tail is the input from before that.
 func (c *Conn) watchKeptDescriptor(tail []byte) {
 	c.paused = true
 	if c.ended && !c.ending.finishing {
@@ -113,7 +113,7 @@
 	c.retryWatch(errPollerDropped)
 }
 
-// closeSocket closes the socket, whether netpoll watches it or not.
+// closeSocket closes the socket, or leaves that to finishPause while netpoll is detaching the socket.
 func (c *Conn) closeSocket() {
 	c.ending.lingerTimer.Stop()
 	c.ending.finishing = false
@@ -140,7 +140,7 @@
 	}
 }
 
-// OnDescriptorFree calls f once the connection holds no descriptor, which may be some time after its end.
+// OnDescriptorFree sets f, which is called on the loop when the descriptor is freed: at or after the end.
 func (c *Conn) OnDescriptorFree(f func()) { c.onDescriptorFree = f }
 
 // descriptorFreed calls the function set by OnDescriptorFree, once.
@@ -162,9 +162,9 @@
 	return Ended
 }
 
-// FinalMessager may be implemented by a Handler to send a last message before an EndedLocally end.
+// FinalMessager is a Handler that sends a last message if this side ends the connection (EndedLocally).
 type FinalMessager interface {
-	// FinalMessage is called on the loop right before the connection ends and Closed is called.
+	// FinalMessage returns the message. It is called on the loop, right before the end and Closed.
 	FinalMessage() []byte
 }
 
@@ -231,7 +231,7 @@
 	}
 }
 
-// CloseNow ends the connection and closes its socket at once, without sending unsent bytes.
+// CloseNow ends the connection and closes its socket at once, also after Finish. It discards unsent bytes.
 func (c *Conn) CloseNow() {
 	c.Close()
 	c.output.retryTimer.Stop()
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -52,7 +52,7 @@
 	c.Write([]byte("."))
 	got, err := io.ReadAll(c)
 	if string(got) != "UP x\r\n" || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("read %q, %v; want \"UP x\\r\\n\" and a reset", got, err)
+		t.Errorf("the client read %q, %v; want \"UP x\\r\\n\" and a reset", got, err)
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	start(t, l)
 	if got, err := io.ReadAll(c); string(got) != "here\r\n" {
-		t.Errorf("read %q, %v; want \"here\\r\\n\"", got, err)
+		t.Errorf("the client read %q, %v; want \"here\\r\\n\"", got, err)
 	}
 }
 
@@ -165,7 +165,7 @@
 			d.Dial(addr, 10*time.Second, 1024, discardingHandler{}, func(c *Conn, err *Error) { established <- err == nil })
 		})
 		if got := <-established; got != c.established || c.established && attempts != 4 || !c.established && attempts != 1 {
-			t.Errorf("connect failing with %v: established %t after %d attempts, want %t", c.err, got, attempts, c.established)
+			t.Errorf("connect failing with %v: established %t after %d attempts, want %t after 4 attempts if it is retried, else 1", c.err, got, attempts, c.established)
 		}
 	}
 }
@@ -176,6 +176,7 @@
 	errs []error
 }
 
+// Accept returns the next of errs, or accepts a connection if none is left.
 func (f *flakyListener) Accept() (net.Conn, error) {
 	if len(f.errs) > 0 {
 		err := f.errs[0]
@@ -196,7 +197,7 @@
 	for range 3 {
 		c := dial(t, n.Addr().String())
 		if got, err := io.ReadAll(c); string(got) != "here\r\n" {
-			t.Errorf("read %q, %v; want \"here\\r\\n\"", got, err)
+			t.Errorf("the client read %q, %v; want \"here\\r\\n\"", got, err)
 		}
 	}
 }
--- a/internal/dataplane/netio/errors.go
+++ b/internal/dataplane/netio/errors.go
@@ -28,7 +28,7 @@
 	Broken                    // the connection was reset, or the system reports it as dead
 	Refused                   // the connection was never established
 	TimedOut                  // the connection was not established in time
-	EndedLocally              // this side ended the connection, at a limit, for a fault or as unneeded
+	EndedLocally              // this side ended the connection: at a limit, for a fault, or because it was not needed any more
 )
 
 var causeNames = [...]string{"ended", "broke", "refused", "expired", "dropped"}
--- a/internal/dataplane/netio/finish_test.go
+++ b/internal/dataplane/netio/finish_test.go
@@ -26,7 +26,7 @@
 	<-finished
 	got, err := io.ReadAll(c)
 	if err != nil || !bytes.HasSuffix(got, append(line[len(line)-8:], "MOVE\r\n"...)) || (len(got)-6)%len(line) != 0 {
-		t.Errorf("read %d bytes that end in %q, %v; want complete lines and \"MOVE\\r\\n\"", len(got), got[max(0, len(got)-8):], err)
+		t.Errorf("the peer read %d bytes that end in %q, %v; want complete lines and \"MOVE\\r\\n\"", len(got), got[max(0, len(got)-8):], err)
 	}
 }
 
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -9,8 +9,8 @@
 // Layer sits between a socket and the handler of its connection. It decrypts input and encrypts
 // output. Its methods are called on the loop, never block and buffer a bounded number of bytes.
 type Layer interface {
-	// Attach sets the function with which the layer sends to the socket. It is called once,
-	// before all other methods.
+	// Attach sets the function with which the layer sends to the socket. The connection calls it
+	// once, before all other methods.
 	Attach(send func(p []byte))
 	// Receive buffers bytes read from the socket. It does not retain p. It returns false if p
 	// exceeds what the layer buffers.
@@ -141,7 +141,7 @@
 	if c.refillScheduled {
 		return
 	}
-	// Posted, because the caller may be the handler, which must not be entered again.
+	// The read is posted, because the caller may be the handler, which must not be entered again.
 	c.refillScheduled = true
 	c.loop.Post(func() {
 		c.refillScheduled = false
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -117,6 +117,7 @@
 	return newListener(ln)
 }
 
+// newListener makes a Listener of ln, which it closes if it returns an error.
 func newListener(ln net.Listener) (*Listener, error) {
 	np, err := netpoll.ConvertListener(ln)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return &Listener{Listener: np, addr: ln.Addr()}, nil
 }
 
-// Listen binds addr, serves it as Serve does, and returns the address bound.
+// Listen binds addr, accepts connections as Serve does, and returns the bound address.
 func Listen(l *Loop, addr string, limit int, accept func(c *Conn) Handler) (net.Addr, error) {
 	n, err := Bind(addr, false)
 	if err != nil {
--- a/internal/dataplane/netio/loop.go
+++ b/internal/dataplane/netio/loop.go
@@ -53,7 +53,8 @@
 // Now returns the loop's time as Unix time in nanoseconds.
 func (l *Loop) Now() int64 { return l.clock() }
 
-// Post queues f to run on the loop. It may be called from any goroutine and never blocks.
+// Post queues f to run on the loop, after the tasks that are already queued. It may be called from any
+// goroutine and never blocks.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
@@ -64,7 +65,7 @@
 	}
 }
 
-// Stop makes Run return after the tasks queued so far.
+// Stop makes Run return once the tasks queued so far have run.
 func (l *Loop) Stop() {
 	l.Post(func() { l.stopped = true })
 }
--- a/internal/dataplane/netio/loopgate.go
+++ b/internal/dataplane/netio/loopgate.go
@@ -12,13 +12,14 @@
 // up the descriptors before the loop can evict one. With the gate the bytes stay in the kernel, whose
 // buffers are small, and the connections in the listener's queue.
 type loopGate struct {
-	pollerParked atomic.Bool // the caller of runOnLoop is the loop, which must not wait for itself
+	pollerParked atomic.Bool // runOnLoop is then called by the loop, which must not wait for itself
 
 	mu       sync.Mutex
 	taskDone chan struct{} // closed when the poller may continue; nil if the loop runs no task for it
 	opened   chan struct{} // closed while the gate is open, because the loop waits for the poller
 }
 
+// newLoopGate returns a closed gate.
 func newLoopGate() *loopGate { return &loopGate{opened: make(chan struct{})} }
 
 // runOnLoop runs f on l. It returns once f has called releasePoller or has returned, at once if the
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -89,6 +89,7 @@
 	return l, addr.String(), closed
 }
 
+// dial connects to addr. The connection is closed when the test ends.
 func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -99,8 +100,7 @@
 	return c.(*net.TCPConn)
 }
 
-// Reading pauses for a client that sends without reading. Its bytes are not buffered without limit, and
-// none are lost when it reads again.
+// A client that sends without reading must not fill the memory, and none of its bytes may be lost.
 func TestBackPressure(t *testing.T) {
 	stopped := make(chan struct{}, 1000)
 	maxBuffered := 0
@@ -134,7 +134,7 @@
 	}
 }
 
-// netpoll does not distinguish an orderly end from a reset; the cause must.
+// netpoll does not distinguish an orderly end from a reset. Closed must get the cause nevertheless.
 func TestHowPeersEnd(t *testing.T) {
 	_, addr, closed := serve(t, func(c *Conn) { c.Write(c.Input()); c.Consume(len(c.Input())) })
 	for _, want := range []Cause{Ended, Broken} {
@@ -170,7 +170,7 @@
 	}
 }
 
-// A cancelled dial calls nothing, a refused one reports that, and an established one delivers input.
+// A cancelled dial does not call done, a refused one reports that, and an established one delivers input.
 func TestDial(t *testing.T) {
 	l, addr, _ := serve(t, func(c *Conn) { c.Write(c.Input()); c.Consume(len(c.Input())) })
 	d := NewDialer(l, 4)
@@ -207,7 +207,7 @@
 	}
 }
 
-// Timers run in the order in which they are due, and posted tasks before timers that are due later.
+// Timers run in the order in which they are due, posted tasks before later timers, and stopped timers never.
 func TestLoopOrder(t *testing.T) {
 	now := int64(0)
 	l := NewLoopAt(func() int64 { return now })
--- a/internal/dataplane/netio/pollerbarrier.go
+++ b/internal/dataplane/netio/pollerbarrier.go
@@ -26,6 +26,7 @@
 
 var _ netpoll.Listener = (*pollerBarrier)(nil)
 
+// newPollerBarrier creates the eventfd of a barrier and starts the goroutine that makes netpoll watch it.
 func newPollerBarrier() (*pollerBarrier, error) {
 	fd, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
--- a/internal/dataplane/netio/read.go
+++ b/internal/dataplane/netio/read.go
@@ -23,7 +23,7 @@
 			break
 		}
 		if !c.ended && c.input.Len() >= c.inputLimit && c.pauseReading() {
-			return // transportClosed releases the poller, and finishPause reads the rest
+			return // netpoll now calls transportClosed, which releases the poller and calls finishPause for the rest
 		}
 	}
 	c.transport.Reader().Release()
@@ -86,7 +86,7 @@
 	fd, ready := c.socket.fd, !c.socket.detaching
 	c.socket.mu.Unlock()
 	if !ready || fd < 0 || c.onReleased != nil {
-		return // if netpoll is still detaching the socket, finishPause calls resume again
+		return // if netpoll is still detaching the socket, finishPause resumes it if required
 	}
 	c.paused = false
 	if err := c.registerWithPoller(fd); err != nil {
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -16,8 +16,9 @@
 }
 
 // Release detaches an open connection from its handler and from the loop without ending it. It calls done
-// on the loop, after Release has returned, and the handler no more. A connection that ends before that,
-// or has a layer, whose state cannot be moved, is not released: done then gets a negative FD.
+// on the loop, after Release has returned. Handler.Data is not called during the release, and no method of
+// the handler once the connection is released. A connection that ends before that, or has a layer, whose
+// state cannot be moved, is not released: done is then called with a negative FD.
 func (c *Conn) Release(done func(ReleasedConn)) {
 	if c.ended || c.layer != nil || c.onReleased != nil {
 		c.loop.Post(func() { done(ReleasedConn{FD: -1}) })
@@ -66,8 +67,9 @@
 	done(p)
 }
 
-// Resume makes a connection of a released one, passes it to done, and then delivers its input to h. It
-// must be called on the loop. It takes ownership of p.FD, also if it returns an error.
+// Resume makes a connection of a released one, passes it to done, and then delivers new input to h. It does
+// not call h.Data for p.Input, which Conn.Input returns. limit is the number of bytes of input at which
+// reading pauses. Resume must be called on the loop. It takes ownership of p.FD, also if it returns an error.
 //
 // Reading is paused at first: netpoll would read as fast as the peer sends until the callbacks are in
 // place, and a connection whose input is not consumed must not grow with each process that resumes it.
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -24,7 +24,8 @@
 	final    chan ReleasedConn // receives the result of the release that failed
 }
 
-// releaseAndResume releases the connection after 1 ms and resumes it. At the end it sends to final.
+// releaseAndResume releases the connection after 1 ms and resumes it. If the release fails, it sends the
+// result to final.
 func (r *repeatedReleaser) releaseAndResume(c *Conn) {
 	r.loop.After(time.Millisecond, func() {
 		c.Release(func(p ReleasedConn) {
--- a/internal/dataplane/netio/write.go
+++ b/internal/dataplane/netio/write.go
@@ -35,7 +35,7 @@
 	return true
 }
 
-// writeThroughLayer sends p, through the layer if there is one. p goes behind bytes that are unsent.
+// writeThroughLayer sends p after the bytes that are still unsent, through the layer if there is one.
 func (c *Conn) writeThroughLayer(p []byte) {
 	if c.layer == nil {
 		c.writeToSocket(p)
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -35,8 +35,8 @@
 // SetSuccessor sets the receiver of the state that must outlive this process.
 func (c *Core) SetSuccessor(s Successor) { c.handover.successor = s }
 
-// SetHandedOver sets which process of this proxy accepts clients from now on: the other one if over
-// is true, this one if it is false.
+// SetHandedOver sets which process of this proxy accepts clients from now on: the other one
+// if handedOver is true, this one if it is false.
 func (c *Core) SetHandedOver(handedOver bool) { c.handover.handedOver = handedOver }
 
 // HandedOverConnection describes an open connection that one process of a proxy hands over to the
