--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -3,11 +3,13 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"strconv"
 	"strings"
 )
 
-// The limits, in bytes, for a response of discovery.
+// The limits, in bytes, for a response of discovery. maxHeadBytes also bounds the line with the size of a chunk
+// and the trailer.
 const (
 	maxHeadBytes = 16 << 10
 	maxBodyBytes = 1 << 20
@@ -16,7 +18,7 @@
 // Errors in a response.
 var (
 	errMalformed = errors.New("malformed response")
-	errTooLarge  = errors.New("response too large")
+	errTooLarge  = fmt.Errorf("response too large: at most %d bytes of head and %d of body are accepted", maxHeadBytes, maxBodyBytes)
 )
 
 // response is an HTTP response at the start of a connection's input.
