--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -136,7 +136,7 @@
 }
 
 // callWatch makes the next call of the watch. It is made right after an answer, because discovery ends a
-// watch whose next call does not come within 200 ms.
+// watch whose next call does not arrive within 200 ms of the last answer.
 func (c *Client) callWatch() {
 	target, timeout := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
 	if c.revision < 0 {
@@ -198,7 +198,7 @@
 
 // reopen repeats the call of a silent watch at once, because the decision module's pause grows with the fleet
 // and the list is due sooner. The watches of a fleet fall silent at different times, so their calls do not
-// come together. The idle connection is closed, since it may be as dead as the one that was used. A second
+// come together. The idle connection is closed, since it may have died like the one that was used. A second
 // failure is reported.
 func (c *Client) reopen() {
 	c.reopened = true
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// readBody reads the body from in, which starts behind the head. It returns nil and no error if the body is
+// readBody reads the body from in, which starts after the head. It returns nil and no error if the body is
 // not complete. The length of the result excludes the head.
 func (h *responseHead) readBody(in []byte, ended bool) (*response, error) {
 	r := &response{status: h.status, closes: h.closes}
@@ -210,7 +210,7 @@
 	}
 }
 
-// skipTrailer skips the trailer, which starts at offset. It returns body, and the offset behind the trailer
+// skipTrailer skips the trailer, which starts at offset. It returns body, and the offset after the trailer
 // or 0 if the trailer is not complete.
 func skipTrailer(in []byte, offset int, body []byte) ([]byte, int, error) {
 	start := offset
--- a/internal/dataplane/lineproto/healthchecks_test.go
+++ b/internal/dataplane/lineproto/healthchecks_test.go
@@ -19,7 +19,8 @@
 var reports = []string{"x0=0.5,queue=2", "queue=2,x0=0.5", "x0=0.5,new=1,queue=2", "x0=0.5", "x0", "x0=", "x0=soon", "x0=NaN", "=1", ",", "", "x0=0x1p4",
 	"pending=2,x0=0.5"}
 
-// A report is read in the settings' order of fields, whatever its own order and further fields.
+// A report is read into the settings' order of fields. Its own order does not matter, and unknown fields are
+// ignored.
 func TestParseReport(t *testing.T) {
 	fields := []string{"x0", "pending"}
 	for i, s := range reports {
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -115,7 +115,7 @@
 }
 
 // setField parses one named value; offset is its position in the line. It ignores unknown names whose
-// value is a number: the protocol allows further ones, and the upstream host gets the line unchanged.
+// value is a number: the protocol allows other ones, and the upstream host gets the line unchanged.
 func (o *OpenLine) setField(name, value string, offset int) error {
 	ok := true
 	switch name {
--- a/internal/dataplane/netio/buffer.go
+++ b/internal/dataplane/netio/buffer.go
@@ -24,7 +24,7 @@
 // Available returns the number of bytes that fit before the limit.
 func (b *Buffer) Available() int { return max(0, b.limit-b.Len()) }
 
-// Reserve returns n bytes of space behind the content, fewer if the limit is near, and nil at the limit.
+// Reserve returns n bytes of space after the content, fewer if the limit is near, and nil at the limit.
 // Extend adds what is written there to the content.
 func (b *Buffer) Reserve(n int) []byte {
 	n = min(n, b.Available())
@@ -53,7 +53,7 @@
 // Extend adds the first n bytes of the last Reserve to the content.
 func (b *Buffer) Extend(n int) { b.data = b.data[:len(b.data)+n] }
 
-// Append copies p behind the content and returns the number of bytes that fitted.
+// Append copies p to the end of the content and returns the number of bytes that fitted.
 func (b *Buffer) Append(p []byte) int {
 	n := copy(b.Reserve(len(p)), p)
 	if n > 0 {
--- a/internal/dataplane/netio/conn.go
+++ b/internal/dataplane/netio/conn.go
@@ -61,7 +61,7 @@
 }
 
 // unsentOutput is the output that the kernel has not accepted yet: the rest of a line, and what a
-// layer or FinishWith added behind it.
+// layer or FinishWith added after it.
 type unsentOutput struct {
 	unsent        []byte
 	retryTimer    *Timer
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -34,7 +34,7 @@
 	c.socket.mu.Unlock()
 	var tail []byte
 	if n := np.Reader().Len(); n > 0 {
-		// Bytes that arrived right before the end: netpoll makes no further call of read for them.
+		// Bytes that arrived right before the end: netpoll does not call read for them any more.
 		tail = make([]byte, n)
 		np.Read(tail)
 	}
--- a/internal/dataplane/netio/finish_test.go
+++ b/internal/dataplane/netio/finish_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer that reads slowly gets its last line behind one that was not completely written. Otherwise a
+// A peer that reads slowly gets its last line after one that was not completely written. Otherwise a
 // client would be cut off without its migration line.
 func TestLastLineBehindAnUnfinishedOne(t *testing.T) {
 	line := append(bytes.Repeat([]byte("x"), 4094), "\r\n"...)
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -91,7 +91,7 @@
 }
 
 // Discard closes this process's descriptor of the socket. If no process resumes the connection, last is
-// its last line, sent behind the rest of a partly written one as far as the kernel accepts them at once.
+// its last line, sent after the rest of a partly written one as far as the kernel accepts them at once.
 // An empty last sends nothing. Discard does nothing if FD is negative.
 func (p ReleasedConn) Discard(last []byte) {
 	if p.FD < 0 {
