--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -3,11 +3,13 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"strconv"
 	"strings"
 )
 
-// The limits, in bytes, for a response of discovery.
+// The limits, in bytes, for a response of discovery. maxHeadBytes also bounds the line with the size of a chunk
+// and the trailer.
 const (
 	maxHeadBytes = 16 << 10
 	maxBodyBytes = 1 << 20
@@ -16,7 +18,7 @@
 // Errors in a response.
 var (
 	errMalformed = errors.New("malformed response")
-	errTooLarge  = errors.New("response too large")
+	errTooLarge  = fmt.Errorf("response too large: at most %d bytes of head and %d of body are accepted", maxHeadBytes, maxBodyBytes)
 )
 
 // response is an HTTP response at the start of a connection's input.
@@ -93,7 +95,7 @@
 	return h, nil
 }
 
-// setField sets what one header field specifies. name must be in lower case. Other fields are ignored.
+// setField applies one header field. name must be in lower case. Fields with other names are ignored.
 func (h *responseHead) setField(name, value string) error {
 	switch name {
 	case "content-length":
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// readBody reads the body from in, which starts behind the head. It returns nil and no error if the body is
+// readBody reads the body from in, which starts after the head. It returns nil and no error if the body is
 // not complete. The length of the result excludes the head.
 func (h *responseHead) readBody(in []byte, ended bool) (*response, error) {
 	r := &response{status: h.status, closes: h.closes}
@@ -208,7 +210,7 @@
 	}
 }
 
-// skipTrailer skips the trailer, which starts at offset. It returns body, and the offset behind the trailer
+// skipTrailer skips the trailer, which starts at offset. It returns body, and the offset after the trailer
 // or 0 if the trailer is not complete.
 func skipTrailer(in []byte, offset int, body []byte) ([]byte, int, error) {
 	start := offset
