--- a/internal/testbed/experiment/persistentclients.go
+++ b/internal/testbed/experiment/persistentclients.go
@@ -12,43 +12,46 @@
 )
 
 const (
-	maxParallelConnects = 32                    // first connects in parallel
-	busyRetryDelay      = 50 * time.Millisecond // before a rejected client retries
-	exchangeTimeout     = 5 * time.Second       // for the answer to a line
+	maxParallelConnects = 32                    // initial connects in flight
+	busyRetryDelay      = 50 * time.Millisecond // delay before a rejected client retries
+	exchangeTimeout     = 5 * time.Second       // time limit for the answer to a line
 )
 
-// persistentClients are clients that stay connected. Each sends lines at an interval and waits for the answers.
+// persistentClients are clients that stay connected. Each sends a line at every interval and waits
+// for its answer.
 type persistentClients struct {
-	answers         *answerCounts // to their requests
-	interval        time.Duration // between a client's lines
-	reconnectAfter  delayRange    // before a migrated client reconnects
-	awaitMigrations bool          // between its lines a client reads, and so notices a migration at once
+	answers         *answerCounts // answers to the requests of all clients
+	interval        time.Duration // interval between the lines of one client
+	reconnectAfter  delayRange    // delay before a migrated client reconnects
+	awaitMigrations bool          // whether clients read between their lines, to notice a migration at once
 
 	running  sync.WaitGroup
 	stopping atomic.Bool
 
-	mu         sync.Mutex // protects what follows
+	mu         sync.Mutex // protects the fields below
 	exchanges  []exchange
-	lost       []string // errors of connections that ended other than by a migration
+	lost       []string // errors of connections that ended without a migration
 	migrations int
 }
 
-// delayRange is a range that a delay is drawn from.
+// delayRange is the range of a random delay.
 type delayRange struct{ shortest, longest time.Duration }
 
-// random draws a delay.
+// random returns a uniformly distributed delay within the range.
 func (d delayRange) random() time.Duration {
 	return d.shortest + time.Duration(rand.Float64()*float64(d.longest-d.shortest))
 }
 
-// exchange is one line and its answer.
+// exchange is one line with the time until its answer.
 type exchange struct {
 	sentAt  time.Time
 	latency time.Duration
 }
 
-// connect has n clients connect in parallel, and stay. extra is added to their request lines. A client that is migrated or rejected
-// reconnects. The error is that of a client that got no connection.
+// connect opens n persistent connections in parallel and returns once each client is served or has
+// failed. extra is appended to the request lines, and wait is the deadline of each request. Clients
+// that are migrated or rejected reconnect. connect returns the error of the first client that
+// failed to connect, or nil if all are connected.
 func (c *persistentClients) connect(proxy string, n int, extra string, wait time.Duration) error {
 	var opened sync.WaitGroup
 	errs := make(chan error, n)
@@ -63,7 +66,7 @@
 			<-turns
 			if client == nil {
 				if err == nil {
-					err = fmt.Errorf("client %d is answered with %q", i, answer.Text)
+					err = fmt.Errorf("client %d: unexpected answer %q", i, answer.Text)
 				}
 				errs <- err
 			}
@@ -82,7 +85,8 @@
 	}
 }
 
-// openUntilServed connects, and retries while it is rejected. Rejections count as answers.
+// openUntilServed opens a connection and retries while the request is rejected and the clients are
+// not being stopped. Rejections count as answers. The client is nil if the request was not served.
 func (c *persistentClients) openUntilServed(proxy, extra string, wait time.Duration) (*fake.Client, fake.Answer, error) {
 	for {
 		client, answer, err := fake.Open(proxy, requestClass, extra, wait)
@@ -94,9 +98,10 @@
 	}
 }
 
-// exchangeLines has client i send lines until stop, and reconnect when it is migrated.
+// exchangeLines sends the lines of client i until stop is called, and reconnects the client after a
+// migration.
 func (c *persistentClients) exchangeLines(proxy string, client *fake.Client, i int, wait time.Duration) {
-	time.Sleep(c.interval * time.Duration(i%97) / 97) // spread over the interval
+	time.Sleep(c.interval * time.Duration(i%97) / 97) // distributes the clients over the interval
 	for !c.stopping.Load() {
 		line, migrated, err := c.exchangeLine(client)
 		if err != nil {
@@ -120,8 +125,8 @@
 	client.Close()
 }
 
-// exchangeLine sends a line and waits for its answer. With awaitMigrations it first waits the interval for a migration; the usual case is
-// that none comes, which is a time-out of ReadLine.
+// exchangeLine sends a line and waits for its answer. With awaitMigrations it first reads for one
+// interval; a time-out of this read is the usual case and means that the client is not migrated.
 func (c *persistentClients) exchangeLine(client *fake.Client) (line exchange, migrated bool, err error) {
 	line.sentAt = time.Now()
 	if c.awaitMigrations {
@@ -135,7 +140,8 @@
 	return line, migrated, err
 }
 
-// reconnect has a migrated client connect again after its delay; nil: it got no connection.
+// reconnect opens a new connection for a migrated client after a random delay. It returns nil if
+// the client fails to connect.
 func (c *persistentClients) reconnect(proxy string, client *fake.Client, wait time.Duration) *fake.Client {
 	client.Close()
 	c.mu.Lock()
@@ -144,12 +150,12 @@
 	time.Sleep(c.reconnectAfter.random())
 	client, _, err := c.openUntilServed(proxy, "again=1", wait)
 	if client == nil {
-		c.recordLoss("after a migration: %v", err)
+		c.recordLoss("reconnect after a migration: %v", err)
 	}
 	return client
 }
 
-// recordLoss records a lost connection, unless the clients are being stopped.
+// recordLoss records the loss of a connection, unless the clients are being stopped.
 func (c *persistentClients) recordLoss(format string, args ...any) {
 	if c.stopping.Load() {
 		return
@@ -159,10 +165,11 @@
 	c.lost = append(c.lost, fmt.Sprintf(format, args...))
 }
 
-// firstLosses are the first three losses, as text.
+// firstLosses joins the first three losses.
 func firstLosses(lost []string) string { return strings.Join(lost[:min(3, len(lost))], "; ") }
 
-// latenciesBetween are the milliseconds from each line that was sent in a span of time to its answer.
+// latenciesBetween returns the latencies, in milliseconds, of the lines that were sent between the
+// two times.
 func (c *persistentClients) latenciesBetween(from, to time.Time) samples {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,7 +182,7 @@
 	return out
 }
 
-// stop ends all clients.
+// stop closes all connections and waits for the clients to end.
 func (c *persistentClients) stop() {
 	c.stopping.Store(true)
 	c.running.Wait()
--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -16,46 +16,48 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Env is the environment of an experiment.
+// Env holds the programs and the folder that an experiment uses.
 type Env struct {
-	Croftlock    string // path of the program
-	EarlierBuild string // path of an earlier build: hot restarts alternate between the two; "": all run Croftlock
-	Self         string // path of croftlock-experiment, for the comparisons that it runs as a process of its own
-	Dir          string // for files; removed afterwards
+	Croftlock    string // path of the program under test
+	EarlierBuild string // path of an earlier build, with which hot restarts alternate; empty means that all processes run Croftlock
+	Self         string // path of croftlock-experiment, which also runs as a separate process, for example as the relay
+	Dir          string // folder for files, removed after the experiment
 	Logf         func(format string, args ...any)
 }
 
-// Setup is the configuration, settings and environment of a proxy process.
+// Setup is the configuration, settings and environment of a proxy process. Zero values mean the
+// defaults.
 type Setup struct {
 	Name           string
-	Discovery      string        // address
-	ListsPushed    bool          // lists are pushed, to an agent at the address Discovery
-	InitialList    fake.List     // the endpoint list that it starts with
-	Settings       string        // path of the settings file; "": none
-	Cores          float64       // part of a core that it may use; default 1
-	MaxDescriptors int           // descriptors that it may hold; default 4096
-	MemoryMB       float64       // memory that it may hold; default 192
+	Discovery      string        // address of the discovery, or of the agent that pushes lists
+	ListsPushed    bool          // the agent at Discovery pushes endpoint lists, and the proxy does not poll
+	InitialList    fake.List     // endpoint list at the start
+	Settings       string        // path of the settings file; empty means none
+	Cores          float64       // CPU limit in cores; default 1
+	MaxDescriptors int           // limit of open file descriptors; default 4096
+	MemoryMB       float64       // memory limit; default 192
 	ConnectTimeout time.Duration // time limit of a connect; default 250 ms
-	Deadline       time.Duration // of a request; default 2 s
-	Classes        []Class       // none: one class of idempotent requests with that deadline
-	Args           []string      // further arguments of the command serve
-	Env            []string      // further environment, NAME=VALUE
-	Files          []*os.File    // descriptors that it inherits, from 3 on
-	Listen         string        // "": any address
-	Admin          string        // address of the admin interface; "": none
-	TmpDir         string        // the platform's private folder; "": as this process has it
-	Program        string        // path; "": Env.Croftlock
+	Deadline       time.Duration // deadline of a request; default 2 s
+	Classes        []Class       // request classes; empty means one class of idempotent requests with Deadline
+	Args           []string      // additional arguments of the command serve
+	Env            []string      // additional environment variables, NAME=VALUE
+	Files          []*os.File    // inherited files, from descriptor 3 on
+	Listen         string        // listen address; empty means 127.0.0.1 and any free port
+	Admin          string        // address of the admin interface; empty means none
+	TmpDir         string        // the platform's private folder (TMPDIR); empty means that of this process
+	Program        string        // path of the program; empty means Env.Croftlock
 	Tier           Tier
 }
 
-// Tier is a proxy's place among the proxies of its tier; the zero value: it is alone.
+// Tier specifies a proxy's position among the proxies of its tier. The zero value means that it is
+// the only one.
 type Tier struct {
-	Peers  []string // addresses of all proxies of the tier, itself included
-	Index  int      // its own place in Peers
-	Listen string   // where it is reached
+	Peers  []string // addresses of all proxies of the tier, including its own
+	Index  int      // its index in Peers
+	Listen string   // address at which its peers reach it
 }
 
-// Process is a process that an experiment started.
+// Process is a process that an experiment has started.
 type Process struct {
 	Addr string
 	cmd  *exec.Cmd
@@ -65,13 +67,13 @@
 	log        []string
 	done       chan struct{}
 	exitErr    error
-	peakMemory int64 // most memory that it ever held, once it has ended
+	peakMemory int64 // peak resident memory in bytes, set when the process has ended
 }
 
-// runningProcesses are the started processes that have not ended.
+// runningProcesses holds the started processes that have not ended; the keys are *Process.
 var runningProcesses sync.Map
 
-// killAll kills the processes that an experiment has left running.
+// killAll kills all processes that an experiment has left running.
 func killAll() {
 	runningProcesses.Range(func(p, _ any) bool {
 		p.(*Process).cmd.Process.Kill()
@@ -79,7 +81,7 @@
 	})
 }
 
-// requestClass is the class of requests of experiments with one class.
+// requestClass is the request class of experiments with a single class.
 const requestClass = "lab"
 
 // Proxy starts a croftlock process and waits until it is ready.
@@ -112,13 +114,14 @@
 	return startCommand(dir, cmd, append(s.Env, "NODE_CONFIG="+path), readyLine)
 }
 
-// readyMark identifies the log line of a process that is ready; a field of the line is its address.
+// readyMark identifies the log line of a process that is ready. field is the key of the address in
+// this line.
 type readyMark struct{ event, field string }
 
-// readyLine is the ready line of the proxy and of the relay.
+// readyLine is the ready line that the proxy and the relay log.
 var readyLine = readyMark{event: "event=ready", field: "listen="}
 
-// address returns the address in a line, if it is the ready line.
+// address returns the address in line and reports whether line is the ready line.
 func (m readyMark) address(line string) (addr string, ready bool) {
 	if _, rest, ok := strings.Cut(line, m.field); ok && strings.Contains(line, m.event) {
 		addr, _, _ = strings.Cut(rest, " ")
@@ -127,13 +130,14 @@
 	return "", false
 }
 
-// startTimeout is how long a process may take to be ready.
+// startTimeout limits the time until a process is ready.
 const startTimeout = 10 * time.Second
 
-// stopTimeout is how long a process may take to end after SIGTERM.
+// stopTimeout limits the time from SIGTERM to the end of a process.
 const stopTimeout = 10 * time.Second
 
-// startCommand runs a command and waits for its ready line.
+// startCommand starts cmd with the additional environment env and waits until its ready line is
+// logged.
 func startCommand(dir string, cmd *exec.Cmd, env []string, mark readyMark) (*Process, error) {
 	p := &Process{cmd: cmd, dir: dir, done: make(chan struct{})}
 	cmd.Env = append(os.Environ(), env...)
@@ -151,14 +155,15 @@
 	case p.Addr = <-ready:
 		return p, nil
 	case <-p.done:
-		return nil, fmt.Errorf("the process ended before it was ready: %s", strings.Join(p.LogLines(""), "; "))
+		return nil, fmt.Errorf("the process ended before it was ready; its log: %s", strings.Join(p.LogLines(""), "; "))
 	case <-time.After(startTimeout):
 		p.Kill()
 		return nil, fmt.Errorf("the process was not ready after %v", startTimeout)
 	}
 }
 
-// readLog reads the process's log until its end, sends its address once it is ready, and records how it ended.
+// readLog reads the log of the process until its end, sends its address to ready once it is ready,
+// and records its exit status and peak memory.
 func (p *Process) readLog(out io.Reader, mark readyMark, ready chan<- string) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
@@ -181,10 +186,10 @@
 	close(p.done)
 }
 
-// ConfigPath is the path of its configuration file.
+// ConfigPath returns the path of the configuration file.
 func (p *Process) ConfigPath() string { return filepath.Join(p.dir, "config.json") }
 
-// LogLines is every line of the log so far that contains the text.
+// LogLines returns the log lines so far that contain the text.
 func (p *Process) LogLines(text string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,7 +202,7 @@
 	return lines
 }
 
-// AwaitLog waits for a log line that contains the text.
+// AwaitLog waits until a log line contains the text, and reports whether one did within the time.
 func (p *Process) AwaitLog(text string, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if len(p.LogLines(text)) > 0 {
@@ -210,22 +215,23 @@
 // Done is closed once the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err waits for the process's end, and is nil if its exit status is 0.
+// Err waits until the process has ended. It returns nil if the exit status is 0.
 func (p *Process) Err() error {
 	<-p.done
 	return p.exitErr
 }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s os.Signal) { p.cmd.Process.Signal(s) }
 
-// Kill ends the process by SIGKILL.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Stop ends the process by SIGTERM; an error says that it failed, or did not end in time.
+// Stop sends SIGTERM and waits until the process has ended. It returns an error if the exit status
+// is not 0, or if the process did not end within stopTimeout and was killed.
 func (p *Process) Stop() error {
 	p.Signal(syscall.SIGTERM)
 	select {
@@ -233,6 +239,6 @@
 		return p.exitErr
 	case <-time.After(stopTimeout):
 		p.Kill()
-		return fmt.Errorf("the process had not ended %v after SIGTERM", stopTimeout)
+		return fmt.Errorf("the process did not end within %v after SIGTERM", stopTimeout)
 	}
 }
--- a/internal/testbed/experiment/procstat.go
+++ b/internal/testbed/experiment/procstat.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// isolateCPU gives the process a core of its own and this program the others, so that the fakes do not delay the process. It returns false,
-// and changes nothing, where there are fewer than three cores.
+// isolateCPU pins the process to one core and this program to the others, so that the fakes do not
+// delay the process. With fewer than three cores it changes nothing and returns false.
 func (p *Process) isolateCPU() bool {
 	var all unix.CPUSet
 	if unix.SchedGetaffinity(0, &all) != nil || all.Count() < 3 {
@@ -40,7 +40,8 @@
 	return true
 }
 
-// CPUTime is the time that all threads have run, by the scheduler's count in nanoseconds: that in /proc/PID/stat has hundredths of a second.
+// CPUTime returns the CPU time of all live threads, from the scheduler's counts in nanoseconds;
+// /proc/PID/stat has a resolution of only 10 ms.
 func (p *Process) CPUTime() time.Duration {
 	total := int64(0)
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
@@ -54,7 +55,7 @@
 	return time.Duration(total)
 }
 
-// Memory is the resident memory of the process, in bytes.
+// Memory returns the resident memory in bytes, or 0 if it cannot be read.
 func (p *Process) Memory() int64 {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for _, l := range strings.Split(string(data), "\n") {
@@ -66,7 +67,7 @@
 	return 0
 }
 
-// Descriptors is the number of open file descriptors of the process.
+// Descriptors returns the number of open file descriptors.
 func (p *Process) Descriptors() int {
 	list, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	return len(list)
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -11,21 +11,22 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// proxySite is one proxy with its hosts and clients. Processes of the proxy replace one another by hot restarts.
+// proxySite is one proxy with its hosts and clients. Hot restarts replace the process of the proxy.
 type proxySite struct {
 	*Env
 	upstreams  *upstreams
 	setup      Setup
-	current    *Process // that serves
-	admin      string   // address of its admin interface
+	current    *Process // process that accepts clients
+	admin      string   // address of the admin interface of current
 	started    int      // number of processes started
 	persistent *persistentClients
-	shortLived *answerCounts  // of the clients that come at a rate
-	load       sync.WaitGroup // the goroutines that have them come
-	stop       chan struct{}  // closed at the load's end
+	shortLived *answerCounts  // answers to the short-lived clients
+	load       sync.WaitGroup // goroutine that starts the short-lived clients
+	stop       chan struct{}  // closed to end the load
 }
 
-// newProxySite starts the site, with persistent clients and with short-lived ones at a rate, in connections a second.
+// newProxySite starts the hosts and the proxy, connects the persistent clients and starts
+// short-lived clients at a rate in connections per second.
 func newProxySite(e *Env, rate float64) (*proxySite, error) {
 	upstreams, err := newUpstreams(e, 3, false)
 	if err != nil {
@@ -52,10 +53,11 @@
 	return s, nil
 }
 
-// unanswered is the number of short-lived connections that ended without an answer.
+// unanswered returns the number of short-lived connections that ended without an answer.
 func (s *proxySite) unanswered() int { return s.shortLived.count("NONE") }
 
-// startProcess starts a process of the proxy, with an admin interface of its own.
+// startProcess starts a process of the proxy and returns it with the address of its own admin
+// interface. Every second process runs the earlier build, if there is one.
 func (s *proxySite) startProcess() (*Process, string, error) {
 	admin, err := FreeAddr()
 	if err != nil {
@@ -71,7 +73,8 @@
 	return p, admin, err
 }
 
-// CallAdmin is one call of the admin interface; a call that takes over 5 s is an error.
+// CallAdmin sends a request without a body to an admin interface, with a time limit of 5 s, and
+// returns the status, the body and the duration of the call.
 func CallAdmin(admin, method, path string) (status int, body string, took time.Duration, err error) {
 	startedAt := time.Now()
 	req, err := http.NewRequest(method, "http://"+admin+path, nil)
@@ -88,7 +91,8 @@
 	return resp.StatusCode, string(data), time.Since(startedAt), err
 }
 
-// AwaitReady waits until a process's admin interface reports it ready.
+// AwaitReady waits until an admin interface reports that its process is ready. It returns an error
+// if that takes longer than within.
 func AwaitReady(admin string, within time.Duration) error {
 	startedAt := time.Now()
 	for time.Since(startedAt) < within {
@@ -97,10 +101,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return fmt.Errorf("not ready after %v", within)
+	return fmt.Errorf("admin interface %s: not ready after %v", admin, within)
 }
 
-// startLoad starts short-lived clients at a rate until close. Each stays for a second.
+// startLoad starts short-lived clients at a rate per second until s.stop is closed. Each client
+// stays connected for a second.
 func (s *proxySite) startLoad(rate float64) {
 	s.load.Add(1)
 	go func() {
@@ -129,7 +134,7 @@
 	}()
 }
 
-// close ends the load, the clients, the process and the hosts.
+// close stops the load, the persistent clients, the proxy and the hosts.
 func (s *proxySite) close() {
 	select {
 	case <-s.stop:
@@ -142,7 +147,9 @@
 	s.upstreams.close()
 }
 
-// hotRestart is a hot restart as the platform does it: a new process takes over, and the old one gets SIGTERM once the new one is ready.
+// hotRestart starts a new process that takes over and, once it is ready, stops the old one by
+// SIGTERM, as the platform does. readyIn is the time until the new process was ready, and leftIn
+// the time until the old one ended.
 func (s *proxySite) hotRestart() (readyIn, leftIn time.Duration, err error) {
 	started := time.Now()
 	p, admin, err := s.startProcess()
--- a/internal/testbed/experiment/relay.go
+++ b/internal/testbed/experiment/relay.go
@@ -13,14 +13,15 @@
 	"croftlock/internal/dataplane/lineproto"
 )
 
-// relayOptions configure the program that croftlock's TLS is compared with: a relay with two goroutines a connection and crypto/tls, without
-// any decisions or checks.
+// relayOptions configure the relay that croftlock's TLS is compared with. The relay uses crypto/tls
+// and two goroutines per connection, and makes no decisions or checks.
 type relayOptions struct {
 	upstream   string // address of the server
-	trust      string // path of the bundle of authorities; "": TCP without TLS
-	serverName string // that the server's certificate has to have
+	trust      string // path of the CA bundle; empty means TCP without TLS
+	serverName string // name that the server's certificate must contain
 }
 
+// run listens on a loopback address and serves connections until accepting fails.
 func (o *relayOptions) run() error {
 	runtime.GOMAXPROCS(1)
 	var config *tls.Config
@@ -46,6 +47,7 @@
 	}
 }
 
+// serve relays one client connection. A nil config means TCP without TLS.
 func (o *relayOptions) serve(c net.Conn, config *tls.Config) {
 	defer c.Close()
 	up, err := net.Dial("tcp", o.upstream)
@@ -61,11 +63,12 @@
 		up.Close()
 		c.Close()
 	}()
-	// The same work as the proxy's: complete lines, and the host's are parsed.
+	// Like the proxy, the relay forwards whole lines and parses those of the host.
 	forwardLines(c, up, func(line []byte) { lineproto.ParseHostLine(line) })
 }
 
-// forwardLines forwards lines until either side ends. inspect, if not nil, gets each line first.
+// forwardLines forwards complete lines until reading or writing fails. If inspect is not nil, it is
+// called with each line before the line is written.
 func forwardLines(to io.Writer, from io.Reader, inspect func(line []byte)) {
 	in := bufio.NewReaderSize(from, lineproto.MaxLineBytes)
 	for {
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -1,5 +1,6 @@
-// Package experiment holds experiments: each starts croftlock processes with fakes on loopback, measures, and checks the result against
-// bounds. They take from seconds to a few minutes, and are no part of the tests.
+// Package experiment contains experiments. Each starts croftlock processes and fakes on loopback,
+// takes measurements and checks them against bounds. An experiment takes from seconds to a few
+// minutes and is not part of the tests.
 package experiment
 
 import (
@@ -15,33 +16,34 @@
 
 // Report is the outcome of an experiment.
 type Report struct {
-	Name    string // of the experiment
+	Name    string // name of the experiment
 	Began   time.Time
 	Took    time.Duration
 	Tables  []Table
-	Values  []Value // of the result line
+	Values  []Value // values of the result line
 	Bounds  []Bound
-	Remarks []string // printed as notes
+	Remarks []string // printed as notes after the bounds
 }
 
-// Table is a table of the report.
+// Table is one table of the report; Head holds the names of its columns.
 type Table struct {
 	Title string
 	Head  []string
 	Rows  [][]string
 }
 
-// Value is one value of the result line.
+// Value is one key=value pair of the result line.
 type Value struct{ Key, Text string }
 
-// Bound is a condition that the result must meet.
+// Bound is a condition on a measured value, and whether it was kept.
 type Bound struct {
-	What     string // the condition
+	What     string // text of the condition
 	Kept     bool   `json:"OK"`
-	Measured string `json:"Got"` // value, as text
+	Measured string `json:"Got"` // the measured value, formatted
 }
 
-// StartTable starts the table with the given title, unless it has been started.
+// StartTable adds an empty table with the given title and columns, unless one with this title
+// exists.
 func (r *Report) StartTable(title string, names ...string) {
 	for _, t := range r.Tables {
 		if t.Title == title {
@@ -51,7 +53,8 @@
 	r.Tables = append(r.Tables, Table{Title: title, Head: names})
 }
 
-// AddRow adds a row to the table with the given title, which StartTable has added.
+// AddRow adds a row to the table with the given title. It panics if StartTable has not been called
+// with this title.
 func (r *Report) AddRow(title string, cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
@@ -66,7 +69,7 @@
 	panic("no table " + title)
 }
 
-// formatValue is a value in the form of reports.
+// formatValue formats a value for tables, bounds and the result line.
 func formatValue(x any) string {
 	switch v := x.(type) {
 	case float64:
@@ -82,12 +85,13 @@
 // AddValue adds a value to the result line.
 func (r *Report) AddValue(key string, x any) { r.Values = append(r.Values, Value{key, formatValue(x)}) }
 
-// Check adds a bound, whether it was kept, and the measured value.
+// Check adds a bound with its condition and measured value; kept reports whether the bound was
+// kept.
 func (r *Report) Check(kept bool, what string, measured any) {
 	r.Bounds = append(r.Bounds, Bound{what, kept, formatValue(measured)})
 }
 
-// OK returns whether there are bounds, and all were kept.
+// OK reports whether the report has bounds and all of them were kept.
 func (r *Report) OK() bool {
 	for _, b := range r.Bounds {
 		if !b.Kept {
@@ -97,7 +101,7 @@
 	return len(r.Bounds) > 0
 }
 
-// Print writes the tables, the bounds and the result line.
+// Print writes the tables, the bounds, the remarks and the result line.
 func (r *Report) Print(w io.Writer) {
 	for _, t := range r.Tables {
 		fmt.Fprintf(w, "\n%s\n", t.Title)
@@ -125,7 +129,8 @@
 	fmt.Fprintln(w, line)
 }
 
-// Save writes the report into a folder, as JSON.
+// Save writes the report as a JSON file into dir, which it creates if necessary. The file name
+// consists of the experiment's name and start time.
 func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -15,41 +15,44 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Rig is several processes of the program, with a network between them that can have faults.
+// Rig is a set of croftlock processes that communicate through a mesh with fault injection.
 type Rig struct {
 	Mesh   *fake.Mesh
-	Procs  []*Process // the running process of each name
+	Procs  []*Process // current process of each index
 	env    *Env
 	dir    string
-	setups []Setup  // what each process is started with
-	admin  []string // address of each process's admin interface
+	setups []Setup  // configuration of each process
+	admin  []string // admin address of each process
 
-	mu           sync.Mutex // protects all
-	incarnations []*Process // every incarnation that was started, of every name
+	mu           sync.Mutex // protects incarnations
+	incarnations []*Process // all processes that were ever started
 }
 
-// RigOptions configure a rig's processes.
+// RigOptions configure the processes of a rig.
 type RigOptions struct {
 	Processes        int        // number of processes
-	Seed             uint64     // of the mesh's random faults
-	Key              string     // seals the datagrams between the processes; "": they are not sealed
-	SettingsSections string     // further sections of the settings file; DIR stands for a folder of each process's own
-	LogLevel         string     // of the log; "": info
-	Upstreams        *upstreams // hosts with their discovery; nil: Discovery, Discoveries, or none that answers
-	// Discovery is that of all processes.
+	Seed             uint64     // seed of the mesh's random faults
+	Key              string     // key that seals the datagrams between the processes; empty means that they are not sealed
+	SettingsSections string     // additional sections of the settings file; DIR is replaced by the folder of the process
+	LogLevel         string     // level of the log; empty means info
+	Upstreams        *upstreams // hosts with their discovery, used instead of Discovery; may be nil
+	// Discovery is the discovery of all processes; nil means Upstreams, Discoveries or an address
+	// that refuses connections.
 	Discovery *fake.Discovery
-	// Discoveries are one for each process, so that their lists can differ.
+	// Discoveries holds one discovery per process, so that their lists can differ, and overrides
+	// the other two. Its length is 0 or Processes.
 	Discoveries []*fake.Discovery
-	Env         []string // added to each process's environment
+	Env         []string // additional environment variables of each process, NAME=VALUE
 }
 
-// NewRig starts n processes that reach one another through a mesh; env is added to each one's environment. key seals the datagrams between
-// them; "": they are not sealed.
+// NewRig starts n processes that communicate through a mesh with the given seed. key seals the
+// datagrams between them; if it is empty, they are not sealed. env is added to the environment of
+// each process.
 func NewRig(e *Env, n int, seed uint64, key string, env ...string) (*Rig, error) {
 	return NewRigWithOptions(e, RigOptions{Processes: n, Seed: seed, Key: key, Env: env})
 }
 
-// NewRigWithOptions starts processes that reach one another through a mesh.
+// NewRigWithOptions starts processes that communicate through a mesh.
 func NewRigWithOptions(e *Env, o RigOptions) (*Rig, error) {
 	if o.LogLevel == "" {
 		o.LogLevel = "info"
@@ -81,7 +84,7 @@
 	return r, nil
 }
 
-// prepareProcess makes the folders and the settings file of process i.
+// prepareProcess creates the folders and the settings file of process i and returns its setup.
 func (r *Rig) prepareProcess(i int, o RigOptions) (Setup, error) {
 	if err := os.Mkdir(r.Dir(i), 0o700); err != nil {
 		return Setup{}, err
@@ -103,7 +106,7 @@
 		Settings: settings, Cores: 0.5, MaxDescriptors: 1024, MemoryMB: 64, Env: o.Env}, nil
 }
 
-// writeSettings writes process i's settings file and returns its path.
+// writeSettings writes the settings file of process i and returns its path.
 func (r *Rig) writeSettings(i int, o RigOptions) (string, error) {
 	keys := ""
 	if o.Key != "" {
@@ -121,7 +124,8 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// programFor is the program for processes with these sections: replicas with a disk need croftlock-voter. "": Env.Croftlock.
+// programFor returns the program for processes with the given settings sections: replicas with a
+// disk need croftlock-voter. An empty result means Env.Croftlock.
 func (e *Env) programFor(sections string) string {
 	if strings.Contains(sections, "(dir ") && filepath.Base(e.Croftlock) == "croftlock" {
 		return e.Croftlock + "-voter"
@@ -129,8 +133,8 @@
 	return ""
 }
 
-// discoveryOf returns the address of process i's discovery, and the endpoint list that it starts with. Without a discovery both name an address
-// that refuses connections.
+// discoveryOf returns the discovery address and the initial endpoint list of process i. Without a
+// discovery, both contain an address that refuses connections.
 func (o *RigOptions) discoveryOf(i int) (discovery string, known fake.List) {
 	d := o.Discovery
 	if o.Upstreams != nil {
@@ -146,15 +150,16 @@
 	return unused, fake.List{Rev: 1, Complete: true, Targets: []fake.Entry{{UID: "s0", Endpoint: unused, State: "up", Weight: 1}}}
 }
 
-// Dir is the folder of a process and its later incarnations.
+// Dir returns the folder that all incarnations of process i use.
 func (r *Rig) Dir(i int) string { return filepath.Join(r.dir, fmt.Sprintf("own%d", i)) }
 
-// Admin is the address of a process's admin interface.
+// Admin returns the address of the admin interface of process i.
 func (r *Rig) Admin(i int) string { return r.admin[i] }
 
+// socket returns the path of the member agent socket of process i.
 func (r *Rig) socket(i int) string { return filepath.Join(r.dir, fmt.Sprintf("n%d.sock", i)) }
 
-// Start starts a process, or a new incarnation of it.
+// Start starts process i, or a new incarnation of it.
 func (r *Rig) Start(i int) (err error) {
 	s := r.setups[i]
 	if s.Admin, err = FreeAddr(); err != nil {
@@ -169,7 +174,8 @@
 	return err
 }
 
-// Replace is a hot restart of process i: a new process takes over, and the old one gets SIGTERM.
+// Replace performs a hot restart of process i: it starts a new process that takes over, and stops
+// the old one by SIGTERM once the new one is ready.
 func (r *Rig) Replace(i int) error {
 	old := r.Procs[i]
 	if err := r.Start(i); err != nil {
@@ -181,7 +187,8 @@
 	return old.Stop()
 }
 
-// Suspend suspends a process's one host by an operator's call, or resumes it; the process saves that on its disk.
+// Suspend suspends or resumes the only host of process i by an operator's call. The process stores
+// the change on its disk.
 func (r *Rig) Suspend(i int, suspended bool) error {
 	action := "resume"
 	if suspended {
@@ -189,22 +196,22 @@
 	}
 	status, body, _, err := CallAdmin(r.admin[i], "POST", "/v1/catalogue-servers/s0/"+action)
 	if err == nil && status != 200 {
-		err = fmt.Errorf("%s: %d %s", action, status, body)
+		err = fmt.Errorf("%s of host s0 at process %d: status %d, %s", action, i, status, body)
 	}
 	return err
 }
 
-// RequestMemberReport requests a process's view of the members.
+// RequestMemberReport requests the view that process i has of the members.
 func (r *Rig) RequestMemberReport(i int) (memberagent.Report, error) {
 	return memberagent.RequestReport(r.socket(i))
 }
 
-// SendOwnerRequest sends a request to a process's owner agent.
+// SendOwnerRequest sends a request to the owner agent of process i.
 func (r *Rig) SendOwnerRequest(i int, q owneragent.Request) (owneragent.Reply, error) {
 	return owneragent.SendRequest(filepath.Join(r.Dir(i), "owners.sock"), q)
 }
 
-// Close kills all processes and ends the mesh.
+// Close kills the current processes, paused ones included, and closes the mesh.
 func (r *Rig) Close() {
 	for _, p := range r.Procs {
 		if p != nil {
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -13,13 +13,14 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// planStep is the beginning or the end of one fault.
+// planStep starts or ends one fault of a plan.
 type planStep struct {
-	startsAt time.Duration // since the plan's beginning
+	startsAt time.Duration // since the start of the plan
 	run      func() error
 }
 
-// PlayFaults plays a plan's faults on the processes, and returns once the last one has ended.
+// PlayFaults injects the faults of a plan at their times and returns once the last one has ended.
+// It stops at the first error.
 func (r *Rig) PlayFaults(plan []simulation.Fault) error {
 	var steps []planStep
 	for _, f := range plan {
@@ -41,7 +42,8 @@
 	return nil
 }
 
-// faultEffect returns what begins and what ends a fault.
+// faultEffect returns the functions that start and end a fault. It returns an error for a fault
+// that only the simulation supports.
 func (r *Rig) faultEffect(f simulation.Fault) (begin, end func() error, err error) {
 	if begin, end = r.processEffect(f); begin != nil {
 		return begin, end, nil
@@ -59,7 +61,8 @@
 	return set(true), set(false), nil
 }
 
-// processEffect is the effect of a fault of one process; nil for another kind of fault.
+// processEffect returns the functions that start and end a fault of one process, or nil for other
+// kinds of faults.
 func (r *Rig) processEffect(f simulation.Fault) (begin, end func() error) {
 	nothing := func() error { return nil }
 	signal := func(s syscall.Signal) func() error {
@@ -81,19 +84,19 @@
 	return nil, nil
 }
 
-// limitFileSize limits the size of files that process i may write, in bytes. It stands for a full disk: writes beyond the limit fail. It needs
-// no privileges.
+// limitFileSize returns a function that limits the size of files that process i may write, in
+// bytes. The limit simulates a full disk, because writes beyond it fail, and needs no privileges.
 func (r *Rig) limitFileSize(i int, maxBytes uint64) func() error {
 	return func() error {
 		return unix.Prlimit(r.Procs[i].cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: maxBytes, Max: unix.RLIM_INFINITY}, nil)
 	}
 }
 
-// slowJitter is the most by which the fault "slow" delays a datagram.
+// slowJitter is the maximum delay that the fault "slow" adds to a datagram.
 const slowJitter = 100 * time.Millisecond
 
-// linkEffect is the effect of a fault of links: the links that it affects, and the change of each at its beginning and end. nil for another
-// kind of fault.
+// linkEffect returns which links a fault affects, and the function that starts (on) or ends it at a
+// link. Both are nil for faults that do not affect links.
 func linkEffect(f simulation.Fault) (which func(from, to int) bool, change func(l *fake.Link, on bool)) {
 	cut := func(l *fake.Link, on bool) { l.Cut = on }
 	all := func(int, int) bool { return true }
@@ -128,7 +131,7 @@
 	return nil, nil
 }
 
-// applyToLinks changes the links that which selects.
+// applyToLinks applies change to the links for which which returns true.
 func (r *Rig) applyToLinks(which func(from, to int) bool, change func(l *fake.Link)) {
 	for i := range r.Procs {
 		for j := range r.Procs {
@@ -139,12 +142,12 @@
 	}
 }
 
-// SetCutOff cuts a process off from all others, in both directions, or ends that.
+// SetCutOff cuts process i off from all others in both directions, or reconnects it.
 func (r *Rig) SetCutOff(i int, on bool) {
 	r.applyToLinks(func(from, to int) bool { return from == i || to == i }, func(l *fake.Link) { l.Cut = on })
 }
 
-// FillDisk returns what makes a process's disk full, and what ends that.
+// FillDisk returns the functions that simulate a full disk of process i and end that.
 func (r *Rig) FillDisk(i int) (begin, end func() error) {
 	return r.limitFileSize(i, 0), r.limitFileSize(i, unix.RLIM_INFINITY)
 }
--- a/internal/testbed/experiment/rigowners.go
+++ b/internal/testbed/experiment/rigowners.go
@@ -11,10 +11,11 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// recoveryTimeout is how long a rig may take to recover from a fault.
+// recoveryTimeout limits the time in which a rig recovers from a fault.
 const recoveryTimeout = 40 * time.Second
 
-// ownersSection is the settings section of a rig's processes: the first so many vote, with stores on disk or in memory. extra goes into it.
+// ownersSection returns the owners section of the settings file for a rig's processes. The first
+// voters processes vote, with stores on disk or in memory; extra is added to the section.
 func ownersSection(voters int, disks bool, extra string) string {
 	names := make([]string, voters)
 	for i := range names {
@@ -27,7 +28,7 @@
 	return section + ")"
 }
 
-// storeName names a store in tables.
+// storeName returns the name of a store in tables.
 func storeName(disks bool) string {
 	if disks {
 		return "disk"
@@ -35,8 +36,9 @@
 	return "memory"
 }
 
-// JobOwners queries all processes except some for the jobs that they own, and gives each job's owner. Where two own one job it gives no
-// owners, and says which two.
+// JobOwners queries all processes except the given ones for the jobs that they own, and returns the
+// owner of each job. If a query fails or two processes own the same job, owners is nil and conflict
+// describes the failure.
 func (r *Rig) JobOwners(except ...int) (owners map[string]int, conflict string) {
 	owners = map[string]int{}
 	for i := range r.Procs {
@@ -60,7 +62,8 @@
 	return owners, ""
 }
 
-// AwaitJobsOwned waits until so many jobs have one owner each among all processes except some.
+// AwaitJobsOwned waits until at least jobs jobs have one owner each among all processes except the
+// given ones. It returns the owner of each job.
 func (r *Rig) AwaitJobsOwned(jobs int, except ...int) (map[string]int, error) {
 	var owners map[string]int
 	conflict := ""
@@ -68,22 +71,23 @@
 		owners, conflict = r.JobOwners(except...)
 		return len(owners) >= jobs
 	}); !ok {
-		return nil, fmt.Errorf("after %v %d of %d jobs have an owner; %s", recoveryTimeout, len(owners), jobs, conflict)
+		return nil, fmt.Errorf("after %v %d of %d jobs have an owner; last conflict: %q", recoveryTimeout, len(owners), jobs, conflict)
 	}
 	return owners, nil
 }
 
-// CheckTokens searches the logs of all incarnations: no two processes may have acquired a job under one fencing token.
+// CheckTokens searches the logs of all incarnations and returns an error if two processes acquired
+// a job under the same fencing token, or if no job was ever acquired.
 func (r *Rig) CheckTokens() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	acquiredBy := map[string]string{} // by job and token
+	acquiredBy := map[string]string{} // process that acquired a job, by job and token
 	for incarnation, p := range r.incarnations {
 		process := fmt.Sprintf("incarnation %d, at %s", incarnation, p.Addr)
 		for _, line := range p.LogLines("event=job_acquired ") {
 			key := logField(line, "job") + " " + logField(line, "token")
 			if other, acquired := acquiredBy[key]; acquired && other != process {
-				return fmt.Errorf("token %s was acquired by %s and by %s", key, other, process)
+				return fmt.Errorf("job and token %q were acquired by %s and by %s", key, other, process)
 			}
 			acquiredBy[key] = process
 		}
@@ -94,21 +98,22 @@
 	return nil
 }
 
-// logField is a logField's value in a line of a log.
+// logField returns the value of a field in a log line, or "" if the line does not contain the
+// field.
 func logField(line, name string) string {
 	_, rest, _ := strings.Cut(line, " "+name+"=")
 	value, _, _ := strings.Cut(rest, " ")
 	return value
 }
 
-// logTime is when a line of a log was written.
+// logTime returns the time at the start of a log line, or the zero time if it cannot be parsed.
 func logTime(line string) time.Time {
 	const layout = "2006/01/02 15:04:05.000000"
 	t, _ := time.Parse(layout, line[:min(len(line), len(layout))])
 	return t
 }
 
-// acquisitionTimes are the times at which a process acquisitionTimes a job, from a time on.
+// acquisitionTimes returns the times, not before from, at which process i acquired a job.
 func (r *Rig) acquisitionTimes(i int, job string, from time.Time) (times []time.Time) {
 	for _, l := range r.Procs[i].LogLines("event=job_acquired ") {
 		if t := logTime(l); logField(l, "job") == job && !t.Before(from.Truncate(time.Millisecond)) {
@@ -118,7 +123,8 @@
 	return times
 }
 
-// ownerGaps are how long jobs were without an owner since a time, as the logs have it: until the first acquisition by anybody.
+// ownerGaps returns how long each job had no owner after since: the time until its first
+// acquisition by any process, from the logs. Jobs that were not acquired again are missing.
 func (r *Rig) ownerGaps(since time.Time, jobs []string) map[string]time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,8 +143,8 @@
 	return gaps
 }
 
-// staleEffects counts, in the logs of all incarnations, effects of an older token that were accepted after a newer one's, and
-// rejections of such effects.
+// staleEffects counts, in the logs of all incarnations, the effects that were accepted after an
+// effect with a newer fencing token, and the rejections of stale effects.
 func (r *Rig) staleEffects() (accepted, rejected int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,16 +162,16 @@
 	return accepted, rejected
 }
 
-// logToken is the fencing token in a line of a log.
+// logToken returns the fencing token in a log line, or 0 if there is none.
 func logToken(line string) uint64 {
 	token, _ := strconv.ParseUint(logField(line, "token"), 10, 64)
 	return token
 }
 
-// effectSpan is the time from the first to the last effect of one token.
+// effectSpan holds the times of the first and the last effect under one fencing token.
 type effectSpan struct{ first, last time.Time }
 
-// effectSpans gives the effects' times, by job and token, over the logs of all incarnations.
+// effectSpans returns the effect times by job and fencing token, from the logs of all incarnations.
 func (r *Rig) effectSpans() map[string]map[uint64]effectSpan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,8 +195,8 @@
 	return spans
 }
 
-// effectGaps are how long each job was without effects, over all changes of owner: from the last effect of one token at anybody to
-// the next token's first.
+// effectGaps returns, for each change of owner of any job, the time from the last effect under one
+// fencing token to the first effect under the next token, sorted. Overlapping effects count as 0.
 func (r *Rig) effectGaps() (gaps []time.Duration) {
 	for _, tokens := range r.effectSpans() {
 		order := make([]uint64, 0, len(tokens))
--- a/internal/testbed/experiment/rigplan.go
+++ b/internal/testbed/experiment/rigplan.go
@@ -10,8 +10,9 @@
 	"croftlock/internal/operations/settings"
 )
 
-// ParsePlan parses a plan of faults: S-expressions as simulation.Fault prints them, times in milliseconds. An error names the file and the
-// position.
+// ParsePlan parses a plan of faults: S-expressions in the format of simulation.Fault.String, with
+// times in milliseconds. processes is the number of processes of the rig. An error contains name
+// and the position of the fault.
 func ParsePlan(name string, data []byte, processes int) ([]simulation.Fault, error) {
 	root, faults := settings.Parse(name, data)
 	if err := faults.Err(); err != nil {
@@ -28,7 +29,7 @@
 	return plan, nil
 }
 
-// readFault parses one line of a plan.
+// readFault parses one fault of a plan.
 func readFault(line *settings.Node, processes int) (f simulation.Fault, err error) {
 	words := line.Values()
 	if len(words) == 0 || len(words[0].Values()) > 0 {
@@ -36,7 +37,7 @@
 	}
 	f.Kind = words[0].Text
 	if !simulation.IsFaultKind(f.Kind) {
-		return f, fmt.Errorf("no fault %q", f.Kind)
+		return f, fmt.Errorf("unknown fault %q", f.Kind)
 	}
 	for _, field := range words[1:] {
 		if err := readFaultField(&f, field.Values()); err != nil {
@@ -44,15 +45,15 @@
 		}
 	}
 	if f.Process >= processes || f.Destination >= processes || f.Amount > 1 {
-		return f, fmt.Errorf("a process under %d and a part up to 1 are possible", processes)
+		return f, fmt.Errorf("process %d and destination %d must be less than %d, and part %g at most 1", f.Process, f.Destination, processes, f.Amount)
 	}
 	return f, nil
 }
 
-// maxPlanNumber bounds the numbers of a plan: 1e9 ms are eleven days.
+// maxPlanNumber is the largest number in a plan; 1e9 ms are about eleven days.
 const maxPlanNumber = 1e9
 
-// readFaultField parses one (NAME NUMBER) into the fault.
+// readFaultField parses one field (NAME NUMBER) of a fault into f.
 func readFaultField(f *simulation.Fault, words []*settings.Node) error {
 	if len(words) != 2 {
 		return errors.New("expected (NAME NUMBER)")
@@ -60,7 +61,7 @@
 	name := words[0].Text
 	number, err := strconv.ParseFloat(words[1].Text, 64)
 	if err != nil || number < 0 || number > maxPlanNumber {
-		return fmt.Errorf("%s: %q is no number from 0 to 1e9", name, words[1].Text)
+		return fmt.Errorf("%s: %q is not a number from 0 to 1e9", name, words[1].Text)
 	}
 	switch name {
 	case "at":
@@ -74,12 +75,12 @@
 	case "part":
 		f.Amount = number
 	default:
-		return fmt.Errorf("no field %q", name)
+		return fmt.Errorf("unknown field %q", name)
 	}
 	return nil
 }
 
-// FormatPlan is a plan in the form that ParsePlan accepts.
+// FormatPlan formats a plan so that ParsePlan can parse it.
 func FormatPlan(plan []simulation.Fault) string {
 	var b bytes.Buffer
 	for _, p := range plan {
--- a/internal/testbed/experiment/rigplan_test.go
+++ b/internal/testbed/experiment/rigplan_test.go
@@ -6,43 +6,43 @@
 	"croftlock/internal/fleet/membership/simulation"
 )
 
-// TestPlanReadsAsPrinted: a printed plan is parsed as the same plan.
-func TestPlanReadsAsPrinted(t *testing.T) {
+// TestParsePlanRoundTrip checks that ParsePlan parses the output of FormatPlan as the same plan.
+func TestParsePlanRoundTrip(t *testing.T) {
 	plan := []simulation.Fault{{Kind: "cut", StartMS: 100, DurationMS: 2000, Process: 1}, {Kind: "loss", StartMS: 5, DurationMS: 7, Amount: 0.25}}
 	got, err := ParsePlan("plan", []byte(FormatPlan(plan)), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(got) != len(plan) || got[0] != plan[0] || got[1] != plan[1] {
-		t.Errorf("plan %v is parsed as %v", plan, got)
+		t.Errorf("ParsePlan(%q) = %v, want %v", FormatPlan(plan), got, plan)
 	}
 }
 
-// TestPlanErrors: each error names the file, the position and the fault.
+// TestPlanErrors checks that each error contains the name of the plan, the position and the cause.
 func TestPlanErrors(t *testing.T) {
 	for _, c := range []struct{ plan, want string }{
 		{"()", "expected (KIND (at MS) (for MS) (a N) ...)"},
-		{"(melt)", `no fault "melt"`},
+		{"(melt)", `unknown fault "melt"`},
 		{"(cut (at))", "expected (NAME NUMBER)"},
-		{"(cut (at x))", `at: "x" is no number from 0 to 1e9`},
-		{"(cut (at -1))", `at: "-1" is no number from 0 to 1e9`},
-		{"(cut (when 1))", `no field "when"`},
-		{"(cut (a 3))", "a process under 3 and a part up to 1 are possible"},
-		{"(loss (part 2))", "a process under 3 and a part up to 1 are possible"},
+		{"(cut (at x))", `at: "x" is not a number from 0 to 1e9`},
+		{"(cut (at -1))", `at: "-1" is not a number from 0 to 1e9`},
+		{"(cut (when 1))", `unknown field "when"`},
+		{"(cut (a 3))", "process 3 and destination 0 must be less than 3, and part 0 at most 1"},
+		{"(loss (part 2))", "process 0 and destination 0 must be less than 3, and part 2 at most 1"},
 	} {
 		_, err := ParsePlan("plan", []byte(c.plan), 3)
 		if err == nil || err.Error() != "plan:{1 1}: "+c.want {
-			t.Errorf("plan %s: error %v, want plan:{1 1}: %s", c.plan, err, c.want)
+			t.Errorf("ParsePlan(%q): error %v, want plan:{1 1}: %s", c.plan, err, c.want)
 		}
 	}
 }
 
-// TestLinkEffects: each kind of fault affects its links alone, in their direction.
+// TestLinkEffects checks that each kind of fault affects exactly its links, in the right direction.
 func TestLinkEffects(t *testing.T) {
 	const victim, peer, other = 1, 2, 0
 	for _, c := range []struct {
 		kind                 string
-		out, in, toPeer, far bool // out of the victim to a third one, into it, to the peer, between two others
+		out, in, toPeer, far bool // victim to other, other to victim, victim to peer, peer to other
 	}{
 		{"cut", true, true, true, false},
 		{"one-way", false, false, true, false},
@@ -52,13 +52,14 @@
 	} {
 		which, change := linkEffect(simulation.Fault{Kind: c.kind, Process: victim, Destination: peer})
 		if change == nil {
-			t.Fatalf("%s has no effect", c.kind)
+			t.Fatalf("linkEffect of fault %q returned nil, want an effect", c.kind)
 		}
 		if which(victim, other) != c.out || which(other, victim) != c.in || which(victim, peer) != c.toPeer || which(peer, other) != c.far {
-			t.Errorf("fault %s affects other links than its own", c.kind)
+			t.Errorf("fault %q affects victim to other %t, other to victim %t, victim to peer %t, peer to other %t; want %t, %t, %t, %t", c.kind,
+				which(victim, other), which(other, victim), which(victim, peer), which(peer, other), c.out, c.in, c.toPeer, c.far)
 		}
 	}
 	if _, change := linkEffect(simulation.Fault{Kind: "kill"}); change != nil {
-		t.Error("fault kill changes links")
+		t.Error(`linkEffect of fault "kill" returned a change of links, want nil`)
 	}
 }
--- a/internal/testbed/experiment/rigview.go
+++ b/internal/testbed/experiment/rigview.go
@@ -7,7 +7,8 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// MemberState is the state of process j in the view of process i; "" where i does not answer.
+// MemberState returns the state of process j in the view of process i, or "" if process i does not
+// reply. A process that is missing in the view is joining.
 func (r *Rig) MemberState(i, j int) string {
 	report, err := r.RequestMemberReport(i)
 	if err != nil {
@@ -21,7 +22,8 @@
 	return membership.Joining.String()
 }
 
-// AwaitCondition waits for a condition to hold; it returns how long that took, and whether it held within the time.
+// AwaitCondition polls a condition every 20 ms until it holds. It returns the elapsed time and
+// whether the condition held within the time limit.
 func AwaitCondition(within time.Duration, holds func() bool) (time.Duration, bool) {
 	startedAt := time.Now()
 	for !holds() {
@@ -33,7 +35,8 @@
 	return time.Since(startedAt), true
 }
 
-// AwaitMemberState waits until process j has one of the states in the view of each other process of observers.
+// AwaitMemberState waits until process j has one of the states in the view of each observer other
+// than j. It returns the same values as AwaitCondition.
 func (r *Rig) AwaitMemberState(within time.Duration, observers []int, j int, states ...string) (time.Duration, bool) {
 	return AwaitCondition(within, func() bool {
 		for _, i := range observers {
@@ -45,7 +48,8 @@
 	})
 }
 
-// AwaitAllAlive waits until all processes see all others alive.
+// AwaitAllAlive waits until all processes are alive in the views of all others. It returns the same
+// values as AwaitCondition.
 func (r *Rig) AwaitAllAlive(within time.Duration) (time.Duration, bool) {
 	return AwaitCondition(within, func() bool {
 		for i := range r.Procs {
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -10,28 +10,30 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// maxVersionOverlap is the settings' agree_within: the longest time for which two versions may be applied at once.
+// maxVersionOverlap is the longest time for which two versions may be applied at once. It equals
+// agree_within in the processes' settings.
 const maxVersionOverlap = time.Second
 
-// rulesCase is one case of rules-agree.
+// rulesCase is one case of the experiment rules-agree.
 type rulesCase struct {
 	name          string
-	changes       bool   // operators propose changes
-	faults        bool   // one every 2 s
-	injectedFault string // a fault that the checker has to find; "": none
+	changes       bool   // whether operators propose changes
+	faults        bool   // whether a fault starts about every 2 s
+	injectedFault string // fault in the program that the checker must detect; empty means none
 	duration      time.Duration
-	check         func(r *Report, o, baseline *rulesOutcome) // checks the case's own bounds; baseline is the case without changes
+	check         func(r *Report, o, baseline *rulesOutcome) // checks the bounds of this case; baseline is the outcome without changes
 }
 
 var rulesCases = []rulesCase{
 	{name: "without changes", duration: 20 * time.Second, check: func(*Report, *rulesOutcome, *rulesOutcome) {}},
 	{name: "changes", changes: true, duration: 40 * time.Second, check: checkWithoutFaults},
 	{name: "changes and faults", changes: true, faults: true, duration: 120 * time.Second, check: checkWithFaults},
-	{name: "a lease ten times too long", changes: true, faults: true, injectedFault: "lapse", duration: 60 * time.Second, check: checkPlanted},
+	{name: "a lease ten times too long", changes: true, faults: true, injectedFault: "lapse", duration: 60 * time.Second, check: checkInjected},
 }
 
-// rulesAgree has five processes agree on a change each 200 ms under 500 placements a second: without faults, with a fault every 2 s, and
-// with a planted fault, a lease that is counted for ten times its time, which the checker has to find.
+// rulesAgree runs five processes that agree on a change of rules every 200 ms under 500 placements
+// per second. It runs them without faults, with a fault about every 2 s, and with an injected
+// fault, a lease that lasts ten times too long, that the checker must detect.
 func rulesAgree(e *Env, r *Report) error {
 	const table = "rules among five processes, three replicas without disks, agree_within 1 s"
 	r.StartTable(table, "case", "changes active", "active within, p50 p99", "decisions", "two versions at once, p99, longest", "no answer", "placed, p50 p99")
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// checkWithoutFaults checks the bounds on changes without faults.
+// checkWithoutFaults checks the bounds for changes without faults.
 func checkWithoutFaults(r *Report, o, baseline *rulesOutcome) {
 	over, longest := o.overlaps()
 	before, placed := percentile(baseline.placementTimes, 0.99), percentile(o.placementTimes, 0.99)
@@ -65,20 +67,20 @@
 		fmt.Sprint(placed, " of ", before))
 }
 
-// checkWithFaults checks the bounds on changes among faults.
+// checkWithFaults checks the bounds for changes with faults.
 func checkWithFaults(r *Report, o, _ *rulesOutcome) {
 	_, longest := o.overlaps()
 	r.Check(longest <= maxVersionOverlap, "after the first decision by a newer version none by an older one for longer than agree_within", longest)
 	r.Check(o.changesActive >= 20, "changes become active through the faults", o.changesActive)
 }
 
-// checkPlanted checks that the planted fault is found.
-func checkPlanted(r *Report, o, _ *rulesOutcome) {
+// checkInjected checks that the injected fault is detected.
+func checkInjected(r *Report, o, _ *rulesOutcome) {
 	_, longest := o.overlaps()
 	r.Check(longest > maxVersionOverlap, "the checker finds a lease that is too long", longest)
 }
 
-// play plays the case on a rig of its own.
+// play runs the case on a rig of its own and returns the outcome.
 func (c *rulesCase) play(e *Env) (*rulesOutcome, error) {
 	g, err := newRulesRig(e, ownersSection(3, false, "(rules on) (agree_within 1s)"), c.injectedFault)
 	if err != nil {
@@ -103,7 +105,8 @@
 	return g.finish(), nil
 }
 
-// playRandomFault cuts off, pauses or kills one of the processes; a cut or pause may last longer than a lease.
+// playRandomFault cuts off, pauses or kills a random process. A cut or a pause may last longer than
+// a lease.
 func (g *rulesRig) playRandomFault(rng *rand.Rand) error {
 	i := rng.IntN(5)
 	switch rng.IntN(3) {
@@ -119,7 +122,8 @@
 	return nil
 }
 
-// placeClients opens connections at a process, 25 a second, and closes each at once.
+// placeClients opens 25 connections per second at process i and closes each at once, until stopping
+// is set. It pauses while down is set.
 func (o *rulesOutcome) placeClients(r *Rig, i int, down, stopping *atomic.Bool) {
 	for !stopping.Load() {
 		time.Sleep(40 * time.Millisecond)
@@ -141,9 +145,10 @@
 	}
 }
 
-// proposeChanges proposes a change each 200 ms, through a process that is up.
+// proposeChanges proposes a change every 200 ms until the workers are stopped, through one process
+// after the other. It skips processes that are down.
 func (g *rulesRig) proposeChanges() {
-	version := uint64(0) // the active one, as last known
+	version := uint64(0) // last known active version
 	for n := 0; !g.stopping.Load(); n++ {
 		next := time.Now().Add(200 * time.Millisecond)
 		if i := n % 5; !g.down[i].Load() {
@@ -153,7 +158,8 @@
 	}
 }
 
-// proposeChange proposes change n against a version, through process i, and returns the version that is active afterwards.
+// proposeChange proposes change n, based on version, through process i. It returns the active
+// version afterwards.
 func (g *rulesRig) proposeChange(i, n int, version uint64) uint64 {
 	startedAt := time.Now()
 	change := rules.NewOperatorsChange(&rules.Version{ExcludedHosts: []string{fmt.Sprint("nobody", n)}}, version, fmt.Appendf(nil, "change%08d", n))
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -11,29 +11,30 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// cutOutcome is the outcome of one fault, played repeatedly beside changes.
+// cutOutcome is the outcome of the repetitions of one fault.
 type cutOutcome struct {
 	played          int
-	activationTimes []time.Duration // until the change was active
-	recoveryTimes   []time.Duration // from the fault's end until all act by the change
-	unknown         int             // changes whose outcome no process knew
-	rejected        int             // changes that the publisher rejected
+	activationTimes []time.Duration // time from the proposal of a change until it was active
+	recoveryTimes   []time.Duration // time from the end of the fault until all processes applied the same version
+	unknown         int             // changes with an unknown outcome
+	rejected        int             // changes rejected by the publisher
 }
 
-// cutFault is a fault that is played beside changes.
+// cutFault is a fault during which a change is proposed.
 type cutFault struct {
 	name        string
 	repetitions int
-	kind        string // of simulation.Fault, or pause or kill, which playUntilEnd plays
+	kind        string // kind of simulation.Fault; playUntilEnd implements pause and kill
 	duration    time.Duration
 }
 
-// cutSuite is a rig's settings and the faults that are played on it.
+// cutSuite specifies the settings of a rig and the faults that are injected into it.
 type cutSuite struct {
 	name, sections string
 	faults         []cutFault
 }
 
+// cutSuites returns the suites of the experiment rules-cut.
 func cutSuites() []cutSuite {
 	const ms = time.Millisecond
 	return []cutSuite{
@@ -48,8 +49,9 @@
 
 const rulesCutTable = "a change beside each fault; five processes, three replicas, agree_within 1 s"
 
-// rulesCut plays each cut, pause and death of a process beside a change, and checks that versions overlap no longer than agree_within and
-// that all agree soon after the fault.
+// rulesCut proposes a change during each cut, pause and death of a process. It checks that the
+// overlap of versions does not exceed agree_within and that all processes apply the same version
+// soon after the fault.
 func rulesCut(e *Env, r *Report) error {
 	r.StartTable(rulesCutTable, "fault", "turns", "active after, p50 p99", "unknown, rejected", "all agree after its end, p50 p99", "two versions at once, longest", "no answer")
 	for _, s := range cutSuites() {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// play plays the suite's faults on a rig of its own.
+// play injects the suite's faults into a rig of its own and checks the bounds.
 func (s *cutSuite) play(e *Env, r *Report) error {
 	g, err := newRulesRig(e, s.sections, "")
 	if err != nil {
@@ -74,7 +76,7 @@
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
 		outcomes = append(outcomes, o)
-		if f.kind != "full" { // there it waits until the replicas reopen their stores
+		if f.kind != "full" { // after a full disk, agreement also waits until the replicas have reopened their stores
 			r.Check(percentile(o.recoveryTimes, 1) <= 2*time.Second, f.name+": all agree within 2 s of its end", percentile(o.recoveryTimes, 1))
 		}
 	}
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// playFault plays all turns of a fault.
+// playFault runs all repetitions of a fault.
 func (g *rulesRig) playFault(f cutFault) (*cutOutcome, error) {
 	o := &cutOutcome{}
 	rng := rand.New(rand.NewPCG(7, uint64(len(f.name))))
@@ -101,7 +103,8 @@
 	return o, nil
 }
 
-// playOnce plays a fault once, at a drawn process, proposes a change while it lasts, and waits until all act by one version again.
+// playOnce injects a fault into a random process, proposes a change while the fault lasts, and
+// waits until all processes apply the same version again.
 func (g *rulesRig) playOnce(f cutFault, o *cutOutcome, rng *rand.Rand) error {
 	victim, via, err := g.pickVictim(f, o.played, rng)
 	if err != nil {
@@ -125,10 +128,11 @@
 	if err := end(); err != nil {
 		return err
 	}
-	// Any process may have lost its connection to the publisher, and then waits for an answer: all are queried.
+	// Any process may have lost its connection to the publisher and may still wait for a reply, so
+	// this queries all of them.
 	heal, ok := g.awaitAnswer(recoveryTimeout, func(answer string) bool { return strings.Contains(answer, " at 5 of 5") })
 	if !ok {
-		return fmt.Errorf("processes act by different versions after the fault: %s", g.query(via, rules.QueryActive()))
+		return fmt.Errorf("processes apply different versions after the fault: %s", g.query(via, rules.QueryActive()))
 	}
 	o.recoveryTimes = append(o.recoveryTimes, heal)
 	switch text := <-answer; {
@@ -146,25 +150,26 @@
 	return g.awaitVersion(via, version+1)
 }
 
-// pickVictim draws the process with the fault, and another one through which the change is proposed.
+// pickVictim returns the process with the fault, at random unless the kind of fault determines it,
+// and another process through which the change is proposed.
 func (g *rulesRig) pickVictim(f cutFault, turn int, rng *rand.Rand) (victim, via int, err error) {
 	victim = rng.IntN(5)
 	if f.kind == "kill" {
 		owners, conflict := g.JobOwners()
 		publisher, owned := owners["rules"]
 		if !owned {
-			return 0, 0, fmt.Errorf("the rules' job has no owner: %s", conflict)
+			return 0, 0, fmt.Errorf("job rules has no owner; conflict: %q", conflict)
 		}
 		victim = publisher
 	}
 	via = (victim + 1 + rng.IntN(4)) % 5
 	if f.kind == "full" {
-		victim, via = turn%3, 3 // a replica, and a process that is none
+		victim, via = turn%3, 3 // a replica, and a process without a replica
 	}
 	return victim, via, nil
 }
 
-// playUntilEnd waits for the fault's end. Pauses and kills are played here.
+// playUntilEnd waits until the fault ends. It also performs pauses and kills.
 func (g *rulesRig) playUntilEnd(f cutFault, victim int, startedAt time.Time, rng *rand.Rand) error {
 	switch f.kind {
 	case "pause":
@@ -178,24 +183,26 @@
 	return nil
 }
 
-// retryChange retries a change whose outcome is unknown until it is active: a change is idempotent.
+// retryChange retries a change with an unknown outcome until it is active, or returns an error
+// after recoveryTimeout. Retries are safe because changes are idempotent.
 func (g *rulesRig) retryChange(via int, change []byte) error {
 	if _, ok := AwaitCondition(recoveryTimeout, func() bool { return strings.HasPrefix(g.query(via, change), "active: ") }); !ok {
-		return fmt.Errorf("a change of unknown outcome fails after the fault: %s", g.query(via, change))
+		return fmt.Errorf("a change with an unknown outcome fails after the fault: %s", g.query(via, change))
 	}
 	return nil
 }
 
-// awaitVersion waits until all act by a version.
+// awaitVersion waits until all processes apply version.
 func (g *rulesRig) awaitVersion(via int, version uint64) error {
 	want := fmt.Sprintf("active: version %d at 5 of 5", version)
 	if _, ok := g.awaitAnswer(recoveryTimeout, func(answer string) bool { return strings.HasPrefix(answer, want) }); !ok {
-		return fmt.Errorf("not all act by version %d: %s", version, g.query(via, rules.QueryActive()))
+		return fmt.Errorf("not all processes apply version %d: %s", version, g.query(via, rules.QueryActive()))
 	}
 	return nil
 }
 
-// injectFault starts a fault at a process, and returns what ends it. Pauses and kills are left to playUntilEnd.
+// injectFault starts a fault at process i and returns the function that ends it. It does nothing
+// for pauses and kills, which playUntilEnd performs.
 func (g *rulesRig) injectFault(f cutFault, i int) (end func() error, err error) {
 	processes := []int{i}
 	switch f.kind {
@@ -223,7 +230,8 @@
 	}, nil
 }
 
-// awaitAgreement waits until all act by one version, and returns it.
+// awaitAgreement waits until all processes apply the same version, and returns that version. It
+// queries process via.
 func (g *rulesRig) awaitAgreement(via int) (version uint64, err error) {
 	answer := ""
 	if _, ok := AwaitCondition(recoveryTimeout, func() bool {
@@ -231,7 +239,7 @@
 		n, _ := fmt.Sscanf(answer, "active: version %d at 5 of 5", &version)
 		return n == 1
 	}); !ok {
-		return 0, fmt.Errorf("processes act by different versions: %s", answer)
+		return 0, fmt.Errorf("processes apply different versions after %v: %s", recoveryTimeout, answer)
 	}
 	return version, nil
 }
--- a/internal/testbed/experiment/rulesoutcome.go
+++ b/internal/testbed/experiment/rulesoutcome.go
@@ -8,29 +8,31 @@
 	"time"
 )
 
-// rulesOutcome is the outcome of one case: the answers to clients and operators, and the decisions in the logs.
+// rulesOutcome is the outcome of one case: replies to clients and operators, and the decisions in
+// the logs.
 type rulesOutcome struct {
-	mu             sync.Mutex // protects what clients and operators add
-	unanswered     int        // clients without an answer
+	mu             sync.Mutex // protects the next four fields
+	unanswered     int        // requests without an answer
 	placementTimes []time.Duration
 	changesActive  int
-	changeTimes    []time.Duration // until a change was active
+	changeTimes    []time.Duration // time from the proposal of a change until it was active
 
 	decisions       int
 	lapsedDecisions int             // decisions without a valid lease
-	overlapTimes    []time.Duration // for each decision by an older version: how long after the first by a newer one
+	overlapTimes    []time.Duration // for each decision by an older version, the time since the first decision by a newer one
 }
 
-// ruleDecision is one decision by a version of the rules.
+// ruleDecision is one logged decision and the rules version that it applied.
 type ruleDecision struct {
 	time    time.Time
 	version int
 }
 
-// readLogs reads the decisions from the logs of all incarnations. The check uses nothing else of the program.
+// readLogs reads the decisions from the logs of all incarnations. The check relies on nothing else
+// from the program.
 func (o *rulesOutcome) readLogs(all []*Process) {
 	var decisions []ruleDecision
-	first := map[int]time.Time{} // first decision, by version
+	first := map[int]time.Time{} // time of the first decision, by version
 	for _, p := range all {
 		for _, l := range p.LogLines("event=rules_applied") {
 			if logField(l, "lapsed") == "true" {
@@ -54,7 +56,8 @@
 	}
 }
 
-// firstByNewer returns, for each version, the time of the first decision by any newer one; the zero time for the newest.
+// firstByNewer returns, for each version, the time of the first decision by any newer version. It
+// is the zero time for the newest version.
 func firstByNewer(first map[int]time.Time) map[int]time.Time {
 	versions := make([]int, 0, len(first))
 	for v := range first {
@@ -62,17 +65,18 @@
 	}
 	slices.Sort(versions)
 	newer := map[int]time.Time{}
-	var least time.Time
+	var earliest time.Time
 	for _, v := range slices.Backward(versions) {
-		newer[v] = least
-		if f := first[v]; least.IsZero() || f.Before(least) {
-			least = f
+		newer[v] = earliest
+		if f := first[v]; earliest.IsZero() || f.Before(earliest) {
+			earliest = f
 		}
 	}
 	return newer
 }
 
-// overlaps are the times for which two versions were applied at once, and the longest of them.
+// overlaps returns the times for which an older version was still applied after a newer one, and
+// the longest of them.
 func (o *rulesOutcome) overlaps() (all []time.Duration, longest time.Duration) {
 	if len(o.overlapTimes) > 0 {
 		longest = slices.Max(o.overlapTimes)
@@ -80,7 +84,7 @@
 	return o.overlapTimes, longest.Round(time.Millisecond)
 }
 
-// percentile is the time that a part q of all times does not exceed.
+// percentile returns the q-quantile (0 to 1) of all, rounded to 100 µs, or 0 if all is empty.
 func percentile(all []time.Duration, q float64) time.Duration {
 	if len(all) == 0 {
 		return 0
@@ -90,7 +94,7 @@
 	return s[min(len(s)-1, int(q*float64(len(s))))].Round(100 * time.Microsecond)
 }
 
-// percentilesText is the median and the 99th percentile.
+// percentilesText formats the median and the 99th percentile.
 func percentilesText(all []time.Duration) string {
 	return fmt.Sprint(percentile(all, 0.5), " ", percentile(all, 0.99))
 }
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -11,19 +11,20 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// rulesRig is five processes that agree on rules, with clients at each, and the outcome.
+// rulesRig is five processes that agree on rules, with clients at each process, and the outcome of
+// the case.
 type rulesRig struct {
 	*Rig
 	*rulesOutcome
-	down     [5]atomic.Bool // processes that are paused or killed: clients do not use them
-	stopping atomic.Bool    // the workers are to end
+	down     [5]atomic.Bool // processes that are paused or killed, which clients do not use
+	stopping atomic.Bool    // set to end the workers
 	workers  sync.WaitGroup
 	hosts    *fake.Hosts
 }
 
-// newRulesRig starts four hosts, the processes and, once these agree, clients at each. planted is a fault of the processes that the
-// experiment has to find; "": none.
-func newRulesRig(e *Env, sections, planted string) (g *rulesRig, err error) {
+// newRulesRig starts four hosts and the processes, waits until the processes agree, and starts four
+// clients at each. injectedFault is a fault that is injected into the program; empty means none.
+func newRulesRig(e *Env, sections, injectedFault string) (g *rulesRig, err error) {
 	g = &rulesRig{rulesOutcome: &rulesOutcome{}}
 	defer func() {
 		if err != nil {
@@ -34,8 +35,8 @@
 		return nil, err
 	}
 	env, o := *e, RigOptions{Processes: 5, Seed: 11, Key: sealKey, LogLevel: "debug", Discovery: g.hosts.Discovery, SettingsSections: sections}
-	if planted != "" {
-		env.Croftlock, o.Env = e.Self, []string{FaultInjectionEnv + "=" + planted}
+	if injectedFault != "" {
+		env.Croftlock, o.Env = e.Self, []string{FaultInjectionEnv + "=" + injectedFault}
 	}
 	if g.Rig, err = NewRigWithOptions(&env, o); err != nil {
 		return nil, err
@@ -51,13 +52,14 @@
 	return g, nil
 }
 
-// startWorker runs f until the rig ends.
+// startWorker runs f in a goroutine. finish and Close wait for it.
 func (g *rulesRig) startWorker(f func()) {
 	g.workers.Add(1)
 	go func() { defer g.workers.Done(); f() }()
 }
 
-// query sends a query to the rules' publisher through process i, and returns the answer or the error.
+// query sends a query to the publisher of the rules through process i. It returns the reply as
+// text, or "unknown: " and the error if there is no reply.
 func (g *rulesRig) query(i int, body []byte) string {
 	reply, err := g.SendOwnerRequest(i, owneragent.Request{Command: "rules", Rules: body})
 	if err != nil {
@@ -66,8 +68,8 @@
 	return reply.Answer + reply.Error
 }
 
-// awaitAnswer waits until some process's answer about the active version meets a condition; it returns how long that took, and whether it
-// did in time.
+// awaitAnswer polls all processes for the active version until a reply meets the condition. It
+// returns the elapsed time and whether this happened within the time limit.
 func (g *rulesRig) awaitAnswer(within time.Duration, holds func(answer string) bool) (time.Duration, bool) {
 	startedAt, found := time.Now(), make(chan time.Duration, len(g.Procs))
 	var ended atomic.Bool
@@ -91,7 +93,7 @@
 	}
 }
 
-// pause pauses a process for a time.
+// pause stops process i for d by SIGSTOP. Clients use it again 300 ms after its end.
 func (g *rulesRig) pause(i int, d time.Duration) {
 	g.down[i].Store(true)
 	g.Procs[i].Signal(syscall.SIGSTOP)
@@ -101,7 +103,7 @@
 	g.down[i].Store(false)
 }
 
-// restart kills a process and starts it again.
+// restart kills process i and starts a new incarnation of it.
 func (g *rulesRig) restart(i int) error {
 	g.down[i].Store(true)
 	defer g.down[i].Store(false)
@@ -109,7 +111,7 @@
 	return g.Start(i)
 }
 
-// finish ends the clients, reads all logs and returns the outcome.
+// finish stops the workers, reads the logs of all incarnations and returns the outcome.
 func (g *rulesRig) finish() *rulesOutcome {
 	g.stopping.Store(true)
 	g.workers.Wait()
@@ -119,7 +121,7 @@
 	return g.rulesOutcome
 }
 
-// Close ends the clients, the processes and the hosts.
+// Close stops the workers, the processes and the hosts.
 func (g *rulesRig) Close() {
 	g.stopping.Store(true)
 	g.workers.Wait()
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -13,33 +13,33 @@
 	"croftlock/internal/testbed/parallel"
 )
 
-// simCommand plays the program's own decisions in virtual time.
+// simCommand returns the command that simulates the program's decisions in virtual time.
 func simCommand() *cobra.Command {
-	root := &cobra.Command{Use: "sim", Short: "Play decisions in virtual time, many plans of faults"}
+	root := &cobra.Command{Use: "sim", Short: "Simulate decisions in virtual time under many plans of faults"}
 	var o simOptions
-	owner := &cobra.Command{Use: "owner", Args: cobra.NoArgs, Short: "Owners, with 3 and 5 voters, with disks and without",
+	owner := &cobra.Command{Use: "owner", Args: cobra.NoArgs, Short: "Simulate owners with 3 and 5 voters, with and without disks",
 		Example: "  croftlock-experiment sim owner --seeds 2000\n  croftlock-experiment sim owner --seeds 1000 --plant skip-sync",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return o.run(cmd.OutOrStdout()) }}
 	owner.Flags().IntVar(&o.firstSeed, "first", 1, "first seed")
-	owner.Flags().IntVar(&o.seeds, "seeds", 2000, "how many")
-	owner.Flags().IntVar(&o.show, "show", 1, "failures printed with their plans")
-	owner.Flags().StringVar(&o.plantedFault, "plant", "", "a fault to plant: skip-sync, eager, from-answer or forget")
+	owner.Flags().IntVar(&o.seeds, "seeds", 2000, "number of seeds")
+	owner.Flags().IntVar(&o.show, "show", 1, "number of failures to print with their plans")
+	owner.Flags().StringVar(&o.plantedFault, "plant", "", "fault to inject into the program: skip-sync, eager, from-answer or forget")
 	root.AddCommand(owner)
 	return root
 }
 
-// simOptions say which plans are played.
+// simOptions specify the plans that are simulated.
 type simOptions struct {
-	firstSeed, seeds int    // seeds from first on
-	show             int    // failures that are printed with their plans
-	plantedFault     string // in plants: a fault that the simulation has to find
+	firstSeed, seeds int    // the first seed, and the number of seeds
+	show             int    // number of failures to print with their plans
+	plantedFault     string // key of plantedFaults; a fault that the simulation must detect
 }
 
-// run plays the plans, on all cores, and prints the sums.
+// run simulates the plans on all cores and prints the totals. It returns an error if a plan failed.
 func (o *simOptions) run(out io.Writer) error {
 	plant, known := plantedFaults[o.plantedFault]
 	if !known {
-		return fmt.Errorf("no fault %q to plant; skip-sync, eager, from-answer and forget are known", o.plantedFault)
+		return fmt.Errorf("unknown fault %q; known faults are skip-sync, eager, from-answer and forget", o.plantedFault)
 	}
 	startedAt := time.Now()
 	sum := simTotals{out: out, show: o.show}
@@ -51,23 +51,23 @@
 	})
 	sum.print(o, time.Since(startedAt))
 	if sum.failed > 0 {
-		return fmt.Errorf("first found at seed %d", sum.firstFailed)
+		return fmt.Errorf("%d of %d plans failed, the first at seed %d", sum.failed, o.seeds, sum.firstFailed)
 	}
 	return nil
 }
 
-// simTotals adds up the plans' results.
+// simTotals adds up the results of the plans.
 type simTotals struct {
 	out  io.Writer
-	show int // failures that are printed
+	show int // number of failures to print
 
 	mu          sync.Mutex
-	totals      simulation.Run // sums
+	totals      simulation.Run // sums of the counts, and all owner gaps
 	failed      int
 	firstFailed uint64 // smallest seed that failed
 }
 
-// play plays one plan and adds its result.
+// play simulates one plan and adds its result.
 func (s *simTotals) play(c simulation.Config) {
 	r := simulation.New(c)
 	plan := r.Faults()
@@ -86,7 +86,8 @@
 	s.totals.OwnerGaps = append(s.totals.OwnerGaps, r.OwnerGaps...)
 }
 
-// recordFailure records a plan that failed, and prints the first ones.
+// recordFailure counts a failed plan, and prints it if fewer than s.show failures have been
+// printed.
 func (s *simTotals) recordFailure(seed uint64, plan []simulation.Fault, err error) {
 	if s.failed == 0 || seed < s.firstFailed {
 		s.firstFailed = seed
@@ -100,7 +101,7 @@
 	}
 }
 
-// print writes the sums.
+// print writes the totals.
 func (s *simTotals) print(o *simOptions, took time.Duration) {
 	slices.Sort(s.totals.OwnerGaps)
 	fmt.Fprintf(s.out, "%d plans from seed %d on in %v: %d failed; %d effects accepted, %d stale ones rejected, %d jobs started, %d checkpoints stored, %d elections, %d of them uncertain\n",
@@ -110,7 +111,8 @@
 	}
 }
 
-// plantedFaults are the faults that can be planted in the program's decisions.
+// plantedFaults holds the faults that can be injected into the program's decisions, by the value of
+// --plant.
 var plantedFaults = map[string]func(c *simulation.Config){
 	"":            func(*simulation.Config) {},
 	"skip-sync":   func(c *simulation.Config) { c.Disks, c.SkipSync = true, true },
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -14,7 +14,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// faultCase is a faulty server, or a fault of the proxy's own files, and the reason that the proxy has to log.
+// faultCase is one fault of the server or of the proxy's own files, with the reason that the proxy
+// must log.
 type faultCase struct {
 	server fake.Fault
 	own    ownFault
@@ -30,7 +31,8 @@
 	ownRevocationStale ownFault = "own-revocation-list-ran-out"
 )
 
-// faultCases are all faults of servers, then those of the proxy's own files, with which it may connect to no server.
+// faultCases returns all faults of servers, followed by those of the proxy's own files. With the
+// latter, the proxy must not connect to any server.
 func faultCases() (cases []faultCase) {
 	for _, f := range fake.Faults() {
 		cases = append(cases, faultCase{f, noOwnFault, f.Reason})
@@ -41,25 +43,27 @@
 		faultCase{fake.Fault{Kind: string(ownRevocationStale), Serve: unused}, ownRevocationStale, "own_trust_unusable"})
 }
 
-// faultOutcome is the outcome of a case.
+// faultOutcome is the outcome of one case.
 type faultOutcome struct {
-	answer, reason string // the client's answer, and the reason in the log
-	connections    int64  // that the server accepted
-	requestBytes   int64  // that the server could read
+	answer, reason string // kind of the client's answer, and the logged reason
+	connections    int64  // connections that the server accepted
+	requestBytes   int64  // bytes of requests that the server could read
 	took           time.Duration
 	err            error
 }
 
-// asExpected returns whether the case ended as it has to.
+// asExpected reports whether the outcome of the case is the expected one: a failed request, no
+// request bytes at the server, a connection only for a fault of the server, and the expected
+// reason.
 func (c *faultCase) asExpected(o faultOutcome) bool {
 	connected := o.connections > 0
 	return o.err == nil && o.requestBytes == 0 && o.answer != "UP" && o.answer != "NONE" && connected == (c.own == noOwnFault) && o.reason == c.reason
 }
 
-// maxParallelCases is how many cases are played in parallel.
+// maxParallelCases limits the cases that run at the same time.
 const maxParallelCases = 3
 
-// tlsBad plays each case with a proxy process of its own.
+// tlsBad runs each case with a proxy process of its own.
 func tlsBad(e *Env, r *Report) error {
 	cases := faultCases()
 	outcomes := make([]faultOutcome, len(cases))
@@ -95,7 +99,7 @@
 	return nil
 }
 
-// reasonText is the reason as the table has it.
+// reasonText returns the reason, or the error of the case, for the table.
 func (o *faultOutcome) reasonText() string {
 	switch {
 	case o.err != nil:
@@ -106,7 +110,7 @@
 	return o.reason
 }
 
-// play sends one request through a proxy to the faulty server.
+// play sends one request to the faulty server through a proxy.
 func (c *faultCase) play(e *Env) (o faultOutcome, err error) {
 	pki, err := fake.NewPKI("s1.lab")
 	if err != nil {
@@ -136,12 +140,13 @@
 		client.Close()
 	}
 	if c.reason != "" {
-		p.AwaitLog(" reason=", 2*time.Second) // the log may arrive after the answer
+		p.AwaitLog(" reason=", 2*time.Second) // the log line may arrive after the answer
 	}
 	return faultOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: a.Latency}, err
 }
 
-// firstReason is the reason of the first failed handshake in a proxy's log, or else of the first fault of its own files.
+// firstReason returns the reason of the first failed handshake in the proxy's log or, if there is
+// none, of the first fault of its own files. It returns "" if neither is logged.
 func firstReason(p *Process) string {
 	lines := append(p.LogLines("event=tls_failed"), p.LogLines("event=tls_own_fault")...)
 	if len(lines) == 0 {
@@ -152,7 +157,8 @@
 	return reason
 }
 
-// settings writes the proxy's files, with the case's fault if they have one, and returns the path of its settings file.
+// settings writes the proxy's files, including the case's own fault, and returns the path of the
+// settings file.
 func (c *faultCase) settings(e *Env, pki *fake.PKI) (string, error) {
 	dir, err := os.MkdirTemp(e.Dir, "bad")
 	if err != nil {
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -10,15 +10,15 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// costVariant is one way to connect to a server.
+// costVariant is one way of connecting to a server.
 type costVariant struct {
 	name          string
-	secure        bool     // by TLS
-	extraSettings []string // more of the tls section
-	relay         bool     // by the relay with goroutines, in place of the proxy
+	secure        bool     // with TLS
+	extraSettings []string // additional settings in the tls section
+	relay         bool     // through the relay with goroutines instead of the proxy
 }
 
-// The variants, by their place in costVariants.
+// Indexes of costVariants.
 const (
 	costPlain = iota
 	costFull
@@ -39,9 +39,10 @@
 	costRelayPlain:     {name: "plain, goroutines", relay: true},
 }
 
-// costSeries are the measurements of one variant, by round.
+// costSeries holds the measurements of one variant, one sample per round, in the units of cost.
 type costSeries struct{ openCPU, openTime, lineCPU, memoryKiB, descriptors samples }
 
+// add appends the measurements of one round.
 func (s *costSeries) add(c cost) {
 	s.openCPU = append(s.openCPU, c.openCPU)
 	s.openTime = append(s.openTime, c.openTime)
@@ -50,7 +51,7 @@
 	s.descriptors = append(s.descriptors, c.descriptors)
 }
 
-// tlsCost measures what TLS to servers costs the proxy: a new connection, a line, an idle connection.
+// tlsCost measures the cost of TLS to servers: new connections, lines and idle connections.
 func tlsCost(e *Env, r *Report) error {
 	if err := measureHandshakeTimes(r); err != nil {
 		return err
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// reportCosts writes the table, the bounds and the values; results are by variant.
+// reportCosts adds the table, the bounds and the values to the report. results are indexed like
+// costVariants.
 func reportCosts(r *Report, results []costSeries) {
 	const title = "on the proxy, median (least to most) of three interleaved rounds"
 	r.StartTable(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line and its answer", "KiB an idle connection", "descriptors")
@@ -95,14 +97,14 @@
 
 // cost is the cost of one variant.
 type cost struct {
-	openCPU     float64 // milliseconds of CPU to open and close a connection
-	openTime    float64 // milliseconds until a client is served, median
-	lineCPU     float64 // microseconds of CPU for a line and its answer
-	memoryKiB   float64 // KiB an idle connection
-	descriptors float64 // an idle connection
+	openCPU     float64 // milliseconds of CPU time to open and close a connection
+	openTime    float64 // median of the milliseconds until a client is served
+	lineCPU     float64 // microseconds of CPU time per line and its answer
+	memoryKiB   float64 // KiB per idle connection
+	descriptors float64 // file descriptors per idle connection
 }
 
-// measure measures the variant on a process of its own.
+// measure measures the variant with a process of its own.
 func (v costVariant) measure(e *Env) (c cost, err error) {
 	upstreams, err := newUpstreams(e, 1, v.secure)
 	if err != nil {
@@ -140,7 +142,7 @@
 	return c, err
 }
 
-// start starts the proxy, or the relay, in front of the fleet's one server.
+// start starts the proxy or the relay with the variant's settings in front of the only server.
 func (v costVariant) start(e *Env, f *upstreams) (*Process, error) {
 	if v.relay {
 		return v.startRelay(e, f)
@@ -155,6 +157,7 @@
 	return e.Proxy(Setup{Name: "cost", Discovery: f.discovery.Addr(), InitialList: f.discovery.List(), Settings: settings})
 }
 
+// startRelay starts the relay as a process of its own.
 func (v costVariant) startRelay(e *Env, f *upstreams) (*Process, error) {
 	args := []string{"relay", "--to", f.servers[0].Addr(), "--name", "s1.lab"}
 	if v.secure {
@@ -166,18 +169,19 @@
 	return startCommand(f.dir, exec.Command(e.Self, args...), nil, readyLine)
 }
 
-// openOne opens one connection.
+// openOne opens one connection. It returns an error if the request is not served.
 func openOne(p *Process) (*fake.Client, fake.Answer, error) {
 	c, a, err := fake.Open(p.Addr, requestClass, "", 2*time.Second)
 	if c == nil {
-		return nil, a, fmt.Errorf("no connection: %s %v", a.Text, err)
+		return nil, a, fmt.Errorf("no connection: answer %q, error %v", a.Text, err)
 	}
 	return c, a, nil
 }
 
-// openingCost opens and closes connections one after the other: milliseconds of CPU each, and the median until it is served.
+// openingCost opens and closes connections one after the other. It returns the milliseconds of CPU
+// time per connection, and the median of the milliseconds until a client is served.
 func openingCost(p *Process) (cpu, took float64, err error) {
-	const warmUp, opens = 50, 400 // the first ones fill caches, sessions and the runtime's pools
+	const warmUp, opens = 50, 400 // the warm-up fills caches, sessions and the runtime's pools
 	var times samples
 	var before time.Duration
 	for i := range warmUp + opens {
@@ -198,7 +202,8 @@
 	return float64(p.CPUTime()-before) / 1e6 / opens, times.median(), nil
 }
 
-// lineCost has all clients in parallel send lines one after the other: microseconds of CPU a line.
+// lineCost sends lines from all clients in parallel, one at a time per client, and returns the
+// microseconds of CPU time per line and its answer.
 func lineCost(p *Process, clients []*fake.Client) (float64, error) {
 	const lines = 500
 	errs := make(chan error, len(clients))
@@ -214,10 +219,11 @@
 	return float64(p.CPUTime()-before) / 1e3 / float64(lines*len(clients)), nil
 }
 
+// sendLines sends n lines, one after the other, and waits for the answer to each.
 func sendLines(c *fake.Client, n int) error {
 	for range n {
 		if _, migrated, err := c.Exchange("MSG 0123456789abcdef 0123456789abcdef", 5*time.Second); err != nil || migrated {
-			return fmt.Errorf("line: %v", err)
+			return fmt.Errorf("line: migrated %t, error %v", migrated, err)
 		}
 	}
 	return nil
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -14,7 +14,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// measureHandshakeTimes measures each side of a handshake by itself: the time that it computes, without its waits for the other side.
+// measureHandshakeTimes measures the computing time of each side of a handshake, without the time
+// that it waits for the other side.
 func measureHandshakeTimes(r *Report) error {
 	pki, err := fake.NewPKI("s1.lab")
 	if err != nil {
@@ -47,7 +48,8 @@
 	return measureVerification(r, pki)
 }
 
-// sessionCache is a client's cache of sessions; none: it never resumes.
+// sessionCache returns the session cache of a client, or nil if the client must not resume
+// sessions.
 func sessionCache(resumed bool) tls.ClientSessionCache {
 	if !resumed {
 		return nil
@@ -55,7 +57,8 @@
 	return tls.NewLRUClientSessionCache(1)
 }
 
-// repeatHandshake are the microseconds of each side of 300 handshakes, after some that fill caches.
+// repeatHandshake performs 300 handshakes, after 30 that fill caches, and returns the computing
+// times of each side in microseconds.
 func repeatHandshake(client, server *tls.Config, resumed bool) (clients, servers samples, err error) {
 	const warmUp, handshakes = 30, 300
 	for i := range warmUp + handshakes {
@@ -74,7 +77,8 @@
 	return clients, servers, nil
 }
 
-// measureVerification measures the measureVerification of a chain: the first time, and from the cache.
+// measureVerification measures the time to verify a certificate chain for the first time and from
+// the cache.
 func measureVerification(r *Report, pki *fake.PKI) error {
 	leaf, err := pki.Trusted.Issue(certs.Spec{Hosts: []string{"s1.lab"}})
 	if err != nil {
@@ -110,22 +114,24 @@
 	return nil
 }
 
-// stopwatch is a connection that measures for how long its owner computes between reads and writes.
+// stopwatch is a connection that measures the computing time of its user, which is the time outside
+// of reads and writes.
 type stopwatch struct {
 	net.Conn
-	computingSince time.Time     // since when the owner computes
-	computed       time.Duration // so far
+	computingSince time.Time     // end of the last read or write
+	computed       time.Duration // computing time so far
 }
 
+// newStopwatch returns a running stopwatch for c.
 func newStopwatch(c net.Conn) *stopwatch { return &stopwatch{Conn: c, computingSince: time.Now()} }
 
-// stop returns the computing time so far, in microseconds.
+// stop returns the computing time so far in microseconds. It must be called only once.
 func (w *stopwatch) stop() float64 {
 	w.computed += time.Since(w.computingSince)
 	return float64(w.computed) / 1e3
 }
 
-// Read reads, and does not count the time of that.
+// Read reads from the connection. The time of the read does not count as computing time.
 func (w *stopwatch) Read(p []byte) (int, error) {
 	w.computed += time.Since(w.computingSince)
 	n, err := w.Conn.Read(p)
@@ -133,7 +139,7 @@
 	return n, err
 }
 
-// Write writes, and does not count the time of that.
+// Write writes to the connection. The time of the write does not count as computing time.
 func (w *stopwatch) Write(p []byte) (int, error) {
 	w.computed += time.Since(w.computingSince)
 	n, err := w.Conn.Write(p)
@@ -141,19 +147,20 @@
 	return n, err
 }
 
-// handshakeTime is the computing time of each side of one handshake, in microseconds.
+// handshakeTime holds the computing times of both sides of one handshake, in microseconds.
 type handshakeTime struct {
 	client, server float64
 	resumed        bool
 }
 
-// serverResult is the result of the server's side.
+// serverResult is the server's computing time of a handshake, in microseconds, and its error.
 type serverResult struct {
 	microseconds float64
 	err          error
 }
 
-// serveHandshake completes one handshake, and waits for the client to close the connection.
+// serveHandshake accepts one connection, completes its handshake and waits until the client closes
+// it.
 func serveHandshake(l net.Listener, config *tls.Config) serverResult {
 	raw, err := l.Accept()
 	if err != nil {
@@ -164,12 +171,13 @@
 	t := tls.Server(w, config)
 	err = t.Handshake()
 	spent := w.stop()
-	io.WriteString(t, "x") // has the client read, and thereby process the ticket
+	io.WriteString(t, "x") // makes the client read, and so process the session ticket
 	io.Copy(io.Discard, t)
 	return serverResult{spent, err}
 }
 
-// measureHandshake measures one handshake. The sides compute in turn, never at the same time.
+// measureHandshake performs one handshake. The two sides compute alternately, never at the same
+// time.
 func measureHandshake(client, server *tls.Config) (h handshakeTime, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -10,26 +10,27 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// rotation is a proxy under load while its TLS files and those of its servers are replaced.
+// rotation is a proxy under load whose TLS files are replaced, together with those of its servers.
 type rotation struct {
 	upstreams  *upstreams
 	proxy      *Process
 	persistent *persistentClients
 	shortLived *answerCounts
-	trust      string // path of the proxy's bundle of authorities
+	trust      string // path of the proxy's CA bundle
 }
 
 const (
-	rotationPersistent   = 400
-	rotationRate         = 200 // new connections a second
+	rotationPersistent   = 400 // persistent connections
+	rotationRate         = 200 // new connections per second
 	rotationDuration     = 30 * time.Second
 	rotationTimeout      = 2 * time.Second
 	rotationStepInterval = 4500 * time.Millisecond
-	reloadLimit          = 2 * time.Second // until the proxy uses new files
+	reloadLimit          = 2 * time.Second // time until the proxy must use new files
 	rotationTable        = "replacements"
 )
 
-// tlsRotation replaces all TLS files, one after the other, with 400 persistent connections and 200 new ones a second.
+// tlsRotation replaces all TLS files one after the other under 400 persistent connections and 200
+// new connections per second.
 func tlsRotation(e *Env, r *Report) error {
 	upstreams, err := newUpstreams(e, 4, true)
 	if err != nil {
@@ -59,7 +60,8 @@
 	return nil
 }
 
-// underLoad makes the replacements under load, and returns how many the proxy used too late.
+// underLoad replaces the files while new connections are opened. It returns the number of
+// replacements that the proxy applied too late.
 func (t *rotation) underLoad(r *Report) (late int, err error) {
 	r.StartTable(rotationTable, "at", "what", "taken after", "epoch")
 	finished := make(chan error, 1)
@@ -73,7 +75,7 @@
 	return late, err
 }
 
-// openShortLived opens a new connection, sends one line and closes it.
+// openShortLived opens a connection, sends one line and closes it.
 func (t *rotation) openShortLived() {
 	client, a, _ := fake.Open(t.proxy.Addr, requestClass, "", rotationTimeout)
 	t.shortLived.add(a, rotationTimeout)
@@ -89,11 +91,12 @@
 // replacement is one replacement of files.
 type replacement struct {
 	description string
-	ofProxy     bool // the proxy's files, which it reloads; else the servers', which show at the next handshakes
+	ofProxy     bool // whether these are files of the proxy, which it reloads; files of servers take effect at the next handshakes
 	replace     func() error
 }
 
-// replacements are the steps, in order: add a second authority, then remove the first.
+// replacements returns the replacements in order: they add a second authority and then remove the
+// first.
 func (t *rotation) replacements() []replacement {
 	first, second := t.upstreams.pki.Trusted, t.upstreams.pki.Other
 	return []replacement{
@@ -106,12 +109,13 @@
 	}
 }
 
+// renewClient replaces the proxy's certificate by one of the given authority.
 func (t *rotation) renewClient(by *fake.Authority) error {
 	_, err := by.SaveClientCertificate(t.upstreams.dir, certs.Spec{Name: "proxy"})
 	return err
 }
 
-// renewServers gives each server a new certificate and ticket keys of its own.
+// renewServers replaces the certificate and the ticket keys of each server.
 func (t *rotation) renewServers(by *fake.Authority) error {
 	for i := range t.upstreams.servers {
 		if err := t.upstreams.renew(i, by); err != nil {
@@ -122,7 +126,8 @@
 	return nil
 }
 
-// addAuthority writes both authorities in place, and before that a part, which cannot be parsed.
+// addAuthority writes a CA bundle with both authorities in place. Before that, it writes an
+// incomplete bundle that cannot be parsed.
 func (t *rotation) addAuthority() error {
 	both := append(certs.EncodeBundle(t.upstreams.pki.Trusted.Root.Cert), certs.EncodeBundle(t.upstreams.pki.Other.Root.Cert)...)
 	if err := os.WriteFile(t.trust, both[:len(both)-200], 0o644); err != nil {
@@ -132,7 +137,8 @@
 	return os.WriteFile(t.trust, both, 0o644)
 }
 
-// replaceAll makes the replacements at their times, and adds a row for each.
+// replaceAll makes the replacements at their times and adds a table row for each. It returns the
+// number of replacements that the proxy applied too late.
 func (t *rotation) replaceAll(r *Report) (late int, err error) {
 	startedAt := time.Now()
 	for i, step := range t.replacements() {
@@ -156,10 +162,11 @@
 	return late, nil
 }
 
-// reloadCount is how often the proxy has reloaded files.
+// reloadCount returns how often the proxy has reloaded its TLS files.
 func (t *rotation) reloadCount() int { return len(t.proxy.LogLines("event=tls_files_taken")) }
 
-// awaitReload waits until the proxy has reloaded files once more, up to a second beyond the limit, and returns how long that took.
+// awaitReload waits until reloadCount differs from before, at most reloadLimit and one second, and
+// returns the elapsed time.
 func (t *rotation) awaitReload(before int) time.Duration {
 	written := time.Now()
 	for t.reloadCount() == before && time.Since(written) < reloadLimit+time.Second {
@@ -168,7 +175,8 @@
 	return time.Since(written)
 }
 
-// report shuts the proxy down and checks the bounds; late is the number of replacements that it used too late.
+// report stops the proxy, checks the bounds and adds the values. late is the number of replacements
+// that the proxy applied too late.
 func (t *rotation) report(r *Report, late int) {
 	established, serials := 0, map[string]int{}
 	for _, s := range t.upstreams.servers {
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -11,21 +11,21 @@
 const (
 	stayingClients, migratingClients = 300, 500
 	stormTimeout                     = 4 * time.Second
-	hostRate                         = 200 // full handshakes a second with one host
+	hostRate                         = 200 // full handshakes per second with one host
 	stormBurst                       = 50 * time.Millisecond
 	reconnectLimit                   = 8 * time.Second
 )
 
-// stormCase is one way in which the clients of the drained server reconnect.
+// stormCase specifies how the clients of the drained server reconnect.
 type stormCase struct {
 	name           string
 	plain          bool       // TCP without TLS
-	extraSettings  string     // more of the tls section
-	reconnectAfter delayRange // before a client reconnects
-	bounds         bool       // the files are replaced during the storm, and bounds are checked
+	extraSettings  string     // additional settings in the tls section
+	reconnectAfter delayRange // delay before a client reconnects
+	bounds         bool       // whether the TLS files are replaced during the storm and the bounds are checked
 }
 
-// reconnectDelay is the time before clients reconnect, as the operators state it.
+// reconnectDelay is the operators' figure for the delay before clients reconnect.
 var reconnectDelay = delayRange{50 * time.Millisecond, 1700 * time.Millisecond}
 
 var stormCases = []stormCase{
@@ -36,9 +36,11 @@
 	{name: "plain TCP, all at once", plain: true},
 }
 
-// tlsStorm migrates 500 clients of one server at once, while 300 others stay on two servers, all through one proxy on one core. No session
-// is resumed: each of the 500 needs a full handshake. They reconnect after 50 to 1,700 ms. Beside it, without bounds: all at once, with
-// resumed sessions, and without TLS, which shows the cost of the reconnects alone.
+// tlsStorm migrates the 500 clients of one server at once while 300 other clients stay on two
+// servers, all through one proxy on one core. The clients reconnect after 50 to 1,700 ms. Sessions
+// are not resumed, so that each of the 500 clients needs a full handshake. Further cases without
+// bounds reconnect all clients at once, resume sessions, or use TCP without TLS, which shows the
+// cost of reconnecting alone.
 func tlsStorm(e *Env, r *Report) error {
 	for _, c := range stormCases {
 		if err := c.play(e, r); err != nil {
@@ -48,31 +50,31 @@
 	return nil
 }
 
-// storm is one case in progress.
+// storm is a running stormCase.
 type storm struct {
 	stormCase
 	upstreams *upstreams
 	proxy     *Process
-	ownCore   bool               // the proxy has a core of its own
-	staying   *persistentClients // clients of the two servers that stay
-	migrating *persistentClients // clients of the server that drains
+	ownCore   bool               // whether the proxy has a core of its own
+	staying   *persistentClients // clients of the two servers that are not drained
+	migrating *persistentClients // clients of the server that is drained
 }
 
-// stormResult is the measurements of one storm.
+// stormResult holds the measurements of one storm.
 type stormResult struct {
-	latenciesBefore, latenciesDuring samples        // milliseconds of the staying clients' lines, before and during the storm
-	handshakesBefore                 map[string]int // handshakes of each server before it
-	reloadsBefore                    int            // reloads of files before it
-	reconnectedAfter                 time.Duration  // until all were connected again; 0: they were not
-	cpu                              time.Duration  // of the proxy
-	withinBudget                     bool           // no server got more handshakes than its budget
-
-	served, unanswered, late int      // requests of the migrated clients
-	lost                     []string // connections that ended other than by a migration
+	latenciesBefore, latenciesDuring samples        // latencies of the staying clients' lines before and during the storm, in milliseconds
+	handshakesBefore                 map[string]int // number of handshakes before the storm, by server
+	reloadsBefore                    int            // reloads of TLS files before the storm
+	reconnectedAfter                 time.Duration  // time until all clients were connected again; 0 if some were not
+	cpu                              time.Duration  // CPU time of the proxy
+	withinBudget                     bool           // whether no server got more handshakes than its budget
+
+	served, unanswered, late int      // answers to requests of the migrated clients
+	lost                     []string // errors of connections that ended without a migration
 	repeatedRequests         int      // requests that a server received twice
 }
 
-// play plays one storm and reports it.
+// play runs the case and adds its results to the report.
 func (c stormCase) play(e *Env, r *Report) error {
 	s, err := c.prepare(e)
 	if err != nil {
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// prepare starts the servers and the proxy.
+// prepare starts the servers and the proxy. The clients are not connected yet.
 func (c stormCase) prepare(e *Env) (s *storm, err error) {
 	upstreams, err := newUpstreams(e, 3, !c.plain)
 	if err != nil {
@@ -128,7 +130,7 @@
 		migrating: &persistentClients{answers: newAnswerCounts(), interval: 2 * time.Second, awaitMigrations: true, reconnectAfter: c.reconnectAfter}}, nil
 }
 
-// connectClients has all clients connect, each to a given server.
+// connectClients connects all clients, each to a given server.
 func (s *storm) connectClients(e *Env) error {
 	e.Logf("%s: %d clients connect to two servers, %d to the third", s.name, stayingClients, migratingClients)
 	for _, group := range []struct {
@@ -137,7 +139,7 @@
 		server  string
 	}{{s.staying, stayingClients / 2, "at=s2"}, {s.staying, stayingClients / 2, "at=s3"}, {s.migrating, migratingClients, "at=s1"}} {
 		if err := group.clients.connect(s.proxy.Addr, group.number, group.server, 20*time.Second); err != nil {
-			return fmt.Errorf("before the storm: %v", err)
+			return fmt.Errorf("connect clients (%s) before the storm: %v", group.server, err)
 		}
 	}
 	s.migrating.answers.reset()
@@ -145,7 +147,8 @@
 	return nil
 }
 
-// drain measures without the storm, drains the first server, and measures until all clients are connected again.
+// drain takes measurements before the storm, drains the first server, and takes measurements until
+// all clients are connected again.
 func (s *storm) drain(e *Env) (*stormResult, error) {
 	result := &stormResult{handshakesBefore: map[string]int{}}
 	beforeFrom := time.Now()
@@ -174,7 +177,8 @@
 	return result, nil
 }
 
-// replaceFiles extends the bundle of authorities and replaces the proxy's certificate, during the storm.
+// replaceFiles adds an authority to the proxy's CA bundle and replaces the proxy's certificate
+// during the storm.
 func (s *storm) replaceFiles() error {
 	time.Sleep(300 * time.Millisecond)
 	if _, err := fake.SaveTrustBundle(s.upstreams.dir, s.upstreams.pki.Trusted, s.upstreams.pki.Other); err != nil {
@@ -184,8 +188,8 @@
 	return err
 }
 
-// awaitReconnected waits until all clients are connected to the two servers that stay, and returns the time since the storm began; 0: they
-// are not.
+// awaitReconnected waits until all clients are connected to the two servers that are not drained.
+// It returns the time since the storm began, or 0 if they are not connected within twice the limit.
 func (s *storm) awaitReconnected(startedAt time.Time) time.Duration {
 	for time.Since(startedAt) < 2*reconnectLimit {
 		time.Sleep(10 * time.Millisecond)
--- a/internal/testbed/experiment/tlsstormreport.go
+++ b/internal/testbed/experiment/tlsstormreport.go
@@ -8,7 +8,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// count reads the counts of clients and servers, before the shutdown of the proxy adds to them.
+// count reads the counts of clients and servers. It must be called before the proxy shuts down,
+// which adds to them.
 func (s *storm) count(result *stormResult) {
 	a := s.migrating.answers
 	result.served, result.unanswered, result.late = a.count("UP"), a.count("NONE"), a.late
@@ -23,15 +24,15 @@
 	}
 }
 
-// handshakesDuring are the handshakes of a server since the storm began.
+// handshakesDuring returns the server's handshakes since the storm began.
 func (result *stormResult) handshakesDuring(server *fake.Server) []fake.Handshake {
 	return server.Handshakes()[result.handshakesBefore[server.UID]:]
 }
 
-// handshakeBudget is how many full handshakes one server may get in a second.
+// handshakeBudget is the maximum number of full handshakes that one server may get in a second.
 var handshakeBudget = float64(hostRate) * (1 + stormBurst.Seconds())
 
-// writeTables adds the rows of this case.
+// writeTables adds the rows of this case to the tables.
 func (s *storm) writeTables(r *Report, result *stormResult) {
 	const lines = "lines of the 300 staying clients, milliseconds to the answer"
 	r.StartTable(lines, "handshakes", "when", "lines", "p50", "p90", "p99", "max")
@@ -60,10 +61,11 @@
 		a.milliseconds.median(), a.milliseconds.quantile(0.99), result.reconnectedAfter, result.cpu.Seconds())
 }
 
-// checkBounds checks the bounds; ended is the proxy's exit status.
+// checkBounds checks the bounds and adds the values. ended is the error with which the proxy shut
+// down, or nil.
 func (s *storm) checkBounds(r *Report, result *stormResult, ended error) {
 	if !s.ownCore {
-		r.Remarks = append(r.Remarks, "fewer than three cores: the stand-ins run on the proxy's core, and its delays include theirs")
+		r.Remarks = append(r.Remarks, "fewer than three cores: the fakes share the proxy's core, and its delays include theirs")
 	}
 	filesTaken := len(s.proxy.LogLines("event=tls_files_taken"))
 	p99Before, p99During := result.latenciesBefore.quantile(0.99), result.latenciesDuring.quantile(0.99)
@@ -84,7 +86,8 @@
 	r.AddValue("memory_mb", float64(s.proxy.peakMemory)/(1<<20))
 }
 
-// maxHandshakesPerSecond is the largest number of handshakes within any second; a resumed one counts as half, as in the budget.
+// maxHandshakesPerSecond returns the largest number of handshakes within any second. As in the
+// budget, a resumed handshake counts as half. It sorts list by completion time.
 func maxHandshakesPerSecond(list []fake.Handshake) float64 {
 	sort.Slice(list, func(i, j int) bool { return list[i].CompletedAt.Before(list[j].CompletedAt) })
 	weight := func(h fake.Handshake) float64 {
--- a/internal/testbed/experiment/upstreams.go
+++ b/internal/testbed/experiment/upstreams.go
@@ -14,16 +14,18 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// upstreams are fake hosts with their discovery, and the files that a proxy needs to connect to them by TLS.
+// upstreams are fake hosts with their discovery, and the files that a proxy needs to connect to
+// them with TLS.
 type upstreams struct {
-	dir          string // of the proxy's files
+	dir          string // folder of the proxy's files
 	pki          *fake.PKI
 	servers      []*fake.Server
-	certificates []atomic.Pointer[tls.Certificate] // of each server
+	certificates []atomic.Pointer[tls.Certificate] // current certificate of each server
 	discovery    *fake.Discovery
 }
 
-// newUpstreams starts n servers, with TLS or without. With TLS they require the proxy's certificate.
+// newUpstreams starts n servers and their discovery. If secure is true, the servers use TLS and
+// require the proxy's certificate.
 func newUpstreams(e *Env, n int, secure bool) (*upstreams, error) {
 	dir, err := os.MkdirTemp(e.Dir, "fleet")
 	if err != nil {
@@ -62,14 +64,15 @@
 	return u, err
 }
 
-// config is the TLS configuration of server i: its current certificate, and client certificates of either authority.
+// config returns the TLS configuration of server i. It uses the current certificate of the server
+// and accepts client certificates of both authorities.
 func (u *upstreams) config(i int) *tls.Config {
 	pool := u.pki.Trusted.Pool()
 	pool.AddCert(u.pki.Other.Root.Cert)
 	return fake.ServerTLSConfig(func() *tls.Certificate { return u.certificates[i].Load() }, func() *x509.CertPool { return pool })
 }
 
-// renew issues a new certificate for server i.
+// renew replaces the certificate of server i by a new one of the given authority.
 func (u *upstreams) renew(i int, by *fake.Authority) error {
 	p, err := by.Issue(certs.Spec{Hosts: []string{fmt.Sprintf("s%d.lab", i+1)}})
 	if err == nil {
@@ -78,6 +81,7 @@
 	return err
 }
 
+// close closes the discovery and the servers.
 func (u *upstreams) close() {
 	u.discovery.Close()
 	for _, s := range u.servers {
@@ -85,7 +89,7 @@
 	}
 }
 
-// settings writes a settings file and returns its path; more is added to the tls section.
+// settings writes a new settings file and returns its path. more is appended to the tls section.
 func (u *upstreams) settings(more ...string) (string, error) {
 	path := filepath.Join(u.dir, fmt.Sprintf("croftlock%d.sexp", time.Now().UnixNano()))
 	text := `(tls (servers on) (trust "trust.pem") (certificate "client.pem") (key "client.key") (name (pattern "{uid}.lab")) ` +
@@ -93,7 +97,7 @@
 	return path, os.WriteFile(path, []byte(text), 0o644)
 }
 
-// handshakes counts the handshakes of all servers.
+// handshakes returns the numbers of full and resumed handshakes of all servers.
 func (u *upstreams) handshakes() (full, resumed int) {
 	for _, s := range u.servers {
 		for _, h := range s.Handshakes() {
