--- a/internal/testbed/experiment/command.go
+++ b/internal/testbed/experiment/command.go
@@ -150,9 +150,9 @@
 	e.Logf = func(format string, args ...any) {
 		fmt.Fprintf(os.Stderr, "%s "+format+"\n", append([]any{time.Now().UTC().Format("15:04:05")}, args...)...)
 	}
-	r := &Report{Name: x.name, Began: time.Now()}
+	r := &Report{Name: x.name, StartedAt: time.Now()}
 	err = x.run(e, r)
-	r.Took = time.Since(r.Began)
+	r.Took = time.Since(r.StartedAt)
 	return r, err
 }
 
--- a/internal/testbed/experiment/demo.go
+++ b/internal/testbed/experiment/demo.go
@@ -37,7 +37,7 @@
 		r.AddRow("hosts", s.UID, all, s.Established())
 		established += s.Established()
 	}
-	lines := persistent.latenciesBetween(r.Began, time.Now())
+	lines := persistent.latenciesBetween(r.StartedAt, time.Now())
 	persistent.stop()
 	err = proxy.Stop()
 	r.Check(err == nil, "the proxy shut down on SIGTERM without an error", fmt.Sprint(err))
--- a/internal/testbed/experiment/persistentclients.go
+++ b/internal/testbed/experiment/persistentclients.go
@@ -55,15 +55,15 @@
 func (c *persistentClients) connect(proxy string, n int, extra string, wait time.Duration) error {
 	var opened sync.WaitGroup
 	errs := make(chan error, n)
-	turns := make(chan struct{}, maxParallelConnects)
+	slots := make(chan struct{}, maxParallelConnects)
 	for i := range n {
 		opened.Add(1)
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
-			turns <- struct{}{}
+			slots <- struct{}{}
 			client, answer, err := c.openUntilServed(proxy, extra, wait)
-			<-turns
+			<-slots
 			if client == nil {
 				if err == nil {
 					err = fmt.Errorf("client %d: unexpected answer %q", i, answer.Text)
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -122,11 +122,11 @@
 				clients.Add(1)
 				go func() {
 					defer clients.Done()
-					c, a, _ := fake.Open(s.setup.Listen, requestClass, "", opsTimeout)
-					s.shortLived.add(a, opsTimeout)
-					if c != nil {
+					client, answer, _ := fake.Open(s.setup.Listen, requestClass, "", opsTimeout)
+					s.shortLived.add(answer, opsTimeout)
+					if client != nil {
 						time.Sleep(time.Second)
-						c.Close()
+						client.Close()
 					}
 				}()
 			}
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -16,13 +16,13 @@
 
 // Report is the outcome of an experiment.
 type Report struct {
-	Name    string // name of the experiment
-	Began   time.Time
-	Took    time.Duration
-	Tables  []Table
-	Values  []Value // values of the result line
-	Bounds  []Bound
-	Remarks []string // printed as notes after the bounds
+	Name      string    // name of the experiment
+	StartedAt time.Time `json:"Began"`
+	Took      time.Duration
+	Tables    []Table
+	Values    []Value // values of the result line
+	Bounds    []Bound
+	Remarks   []string // printed as notes after the bounds
 }
 
 // Table is one table of the report; Head holds the names of its columns.
@@ -37,9 +37,9 @@
 
 // Bound is a condition on a measured value, and whether it was kept.
 type Bound struct {
-	What     string // text of the condition
-	Kept     bool   `json:"OK"`
-	Measured string `json:"Got"` // the measured value, formatted
+	Condition string `json:"What"` // text of the condition
+	Kept      bool   `json:"OK"`
+	Measured  string `json:"Got"` // the measured value, formatted
 }
 
 // StartTable adds an empty table with the given title and columns, unless one with this title
@@ -117,7 +117,7 @@
 		if !b.Kept {
 			mark = "MISSED"
 		}
-		fmt.Fprintf(w, "%-6s  %s: %s\n", mark, b.What, b.Measured)
+		fmt.Fprintf(w, "%-6s  %s: %s\n", mark, b.Condition, b.Measured)
 	}
 	for _, m := range r.Remarks {
 		fmt.Fprintln(w, "note   ", m)
@@ -139,5 +139,5 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(dir, r.Name+"-"+r.Began.UTC().Format("20060102T150405")+".json"), append(data, '\n'), 0o644)
+	return os.WriteFile(filepath.Join(dir, r.Name+"-"+r.StartedAt.UTC().Format("20060102T150405")+".json"), append(data, '\n'), 0o644)
 }
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -46,9 +46,9 @@
 		if baseline == nil {
 			baseline = o
 		}
-		over, longest := o.overlaps()
+		versionOverlaps, longest := o.overlaps()
 		r.AddRow(table, c.name, o.changesActive, percentilesText(o.changeTimes), o.decisions,
-			fmt.Sprint(percentile(over, 0.99), ", ", longest), o.unanswered, percentilesText(o.placementTimes))
+			fmt.Sprint(percentile(versionOverlaps, 0.99), ", ", longest), o.unanswered, percentilesText(o.placementTimes))
 		c.check(r, o, baseline)
 		if c.injectedFault == "" {
 			r.Check(o.unanswered == 0, c.name+": each request gets an answer", o.unanswered)
@@ -59,9 +59,9 @@
 
 // checkWithoutFaults checks the bounds for changes without faults.
 func checkWithoutFaults(r *Report, o, baseline *rulesOutcome) {
-	over, longest := o.overlaps()
+	versionOverlaps, longest := o.overlaps()
 	before, placed := percentile(baseline.placementTimes, 0.99), percentile(o.placementTimes, 0.99)
-	r.Check(longest <= maxVersionOverlap && percentile(over, 0.99) <= 100*time.Millisecond, "without faults two versions at once for 100 ms at p99", percentile(over, 0.99))
+	r.Check(longest <= maxVersionOverlap && percentile(versionOverlaps, 0.99) <= 100*time.Millisecond, "without faults two versions at once for 100 ms at p99", percentile(versionOverlaps, 0.99))
 	r.Check(percentile(o.changeTimes, 0.99) <= 300*time.Millisecond, "without faults a change is active within 300 ms at p99", percentile(o.changeTimes, 0.99))
 	r.Check(placed <= before*11/10+time.Millisecond, "p99 of a placement within a tenth, and a millisecond, of the same without changes",
 		fmt.Sprint(placed, " of ", before))
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -14,7 +14,7 @@
 // cutOutcome is the outcome of the repetitions of one fault.
 type cutOutcome struct {
 	played          int
-	activationTimes []time.Duration // time from the proposal of a change until it was active
+	activationTimes []time.Duration // time from the proposal until its reply was read, which is after the recovery
 	recoveryTimes   []time.Duration // time from the end of the fault until all processes applied the same version
 	unknown         int             // changes with an unknown outcome
 	rejected        int             // changes rejected by the publisher
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -34,11 +34,11 @@
 	if g.hosts, err = fake.NewHosts("z", "s0", "s1", "s2", "s3"); err != nil {
 		return nil, err
 	}
-	env, o := *e, RigOptions{Processes: 5, Seed: 11, Key: sealKey, LogLevel: "debug", Discovery: g.hosts.Discovery, SettingsSections: sections}
+	env, options := *e, RigOptions{Processes: 5, Seed: 11, Key: sealKey, LogLevel: "debug", Discovery: g.hosts.Discovery, SettingsSections: sections}
 	if injectedFault != "" {
-		env.Croftlock, o.Env = e.Self, []string{FaultInjectionEnv + "=" + injectedFault}
+		env.Croftlock, options.Env = e.Self, []string{FaultInjectionEnv + "=" + injectedFault}
 	}
-	if g.Rig, err = NewRigWithOptions(&env, o); err != nil {
+	if g.Rig, err = NewRigWithOptions(&env, options); err != nil {
 		return nil, err
 	}
 	if _, err := g.awaitAgreement(0); err != nil {
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -67,20 +67,20 @@
 func tlsBad(e *Env, r *Report) error {
 	cases := faultCases()
 	outcomes := make([]faultOutcome, len(cases))
-	turns := make(chan struct{}, maxParallelCases)
-	var plays sync.WaitGroup
+	slots := make(chan struct{}, maxParallelCases)
+	var running sync.WaitGroup
 	for i := range cases {
-		plays.Add(1)
+		running.Add(1)
 		go func() {
-			defer plays.Done()
-			turns <- struct{}{}
-			defer func() { <-turns }()
+			defer running.Done()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			var err error
 			outcomes[i], err = cases[i].play(e)
 			outcomes[i].err = err
 		}()
 	}
-	plays.Wait()
+	running.Wait()
 	bytes, bad := int64(0), 0
 	const title = "faulty servers; the client waits 2 s, connects may take 0.25 s"
 	r.StartTable(title, "server", "client's answer", "after", "logged reason", "connections", "readable request bytes", "as expected")
@@ -125,24 +125,24 @@
 		return o, err
 	}
 	defer bad.Close()
-	d, err := fake.NewDiscovery(fake.Entry{UID: "s1", Endpoint: bad.Addr(), Zone: "a", Model: "type-a"})
+	discovery, err := fake.NewDiscovery(fake.Entry{UID: "s1", Endpoint: bad.Addr(), Zone: "a", Model: "type-a"})
 	if err != nil {
 		return o, err
 	}
-	defer d.Close()
-	p, err := e.Proxy(Setup{Name: c.server.Kind, Discovery: d.Addr(), InitialList: d.List(), Settings: settings})
+	defer discovery.Close()
+	proxy, err := e.Proxy(Setup{Name: c.server.Kind, Discovery: discovery.Addr(), InitialList: discovery.List(), Settings: settings})
 	if err != nil {
 		return o, err
 	}
-	defer p.Stop()
-	client, a, err := fake.Open(p.Addr, requestClass, "", 2*time.Second)
+	defer proxy.Stop()
+	client, answer, err := fake.Open(proxy.Addr, requestClass, "", 2*time.Second)
 	if client != nil {
 		client.Close()
 	}
 	if c.reason != "" {
-		p.AwaitLog(" reason=", 2*time.Second) // the log line may arrive after the answer
+		proxy.AwaitLog(" reason=", 2*time.Second) // the log line may arrive after the answer
 	}
-	return faultOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: a.Latency}, err
+	return faultOutcome{answer: answer.Kind, reason: firstReason(proxy), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: answer.Latency}, err
 }
 
 // firstReason returns the reason of the first failed handshake in the proxy's log or, if there is
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -77,8 +77,8 @@
 func reportCosts(r *Report, results []costSeries) {
 	const title = "on the proxy, median (least to most) of three interleaved rounds"
 	r.StartTable(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line and its answer", "KiB an idle connection", "descriptors")
-	for i, x := range results {
-		r.AddRow(title, costVariants[i].name, x.openCPU, x.openTime, x.lineCPU, x.memoryKiB, x.descriptors)
+	for i, series := range results {
+		r.AddRow(title, costVariants[i].name, series.openCPU, series.openTime, series.lineCPU, series.memoryKiB, series.descriptors)
 	}
 	plain, full, resumed, relay := results[costPlain], results[costFull], results[costResumed], results[costRelayTLS]
 	r.Check(resumed.memoryKiB.median() <= 40, "at most 40 KiB an idle TLS connection", resumed.memoryKiB)
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -27,12 +27,12 @@
 	}
 	const title = "one handshake, microseconds that each side computes, median (10% to 90%) of 300"
 	r.StartTable(title, "key exchange", "kind", "client", "server")
-	for _, x := range []struct {
+	for _, exchange := range []struct {
 		name string
 		id   tls.CurveID
 	}{{"x25519mlkem768", tls.X25519MLKEM768}, {"x25519", tls.X25519}, {"p256", tls.CurveP256}} {
 		for _, resumed := range []bool{false, true} {
-			client := &tls.Config{ServerName: "s1.lab", RootCAs: pki.Trusted.Pool(), CurvePreferences: []tls.CurveID{x.id}}
+			client := &tls.Config{ServerName: "s1.lab", RootCAs: pki.Trusted.Pool(), CurvePreferences: []tls.CurveID{exchange.id}}
 			client.ClientSessionCache = sessionCache(resumed)
 			clients, servers, err := repeatHandshake(client, server, resumed)
 			if err != nil {
@@ -42,7 +42,7 @@
 			if resumed {
 				kind = "resumed"
 			}
-			r.AddRow(title, x.name, kind, clients.formatQuantiles(0), servers.formatQuantiles(0))
+			r.AddRow(title, exchange.name, kind, clients.formatQuantiles(0), servers.formatQuantiles(0))
 		}
 	}
 	return measureVerification(r, pki)
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -41,15 +41,15 @@
 	if err != nil {
 		return err
 	}
-	p, err := e.Proxy(Setup{Name: "rotation", Discovery: upstreams.discovery.Addr(), InitialList: upstreams.discovery.List(), Settings: settings,
+	proxy, err := e.Proxy(Setup{Name: "rotation", Discovery: upstreams.discovery.Addr(), InitialList: upstreams.discovery.List(), Settings: settings,
 		ConnectTimeout: 800 * time.Millisecond, Deadline: rotationTimeout})
 	if err != nil {
 		return err
 	}
-	t := &rotation{upstreams: upstreams, proxy: p, persistent: &persistentClients{answers: newAnswerCounts(), interval: time.Second}, shortLived: newAnswerCounts(),
+	t := &rotation{upstreams: upstreams, proxy: proxy, persistent: &persistentClients{answers: newAnswerCounts(), interval: time.Second}, shortLived: newAnswerCounts(),
 		trust: filepath.Join(upstreams.dir, "trust.pem")}
 	defer t.persistent.stop()
-	if err := t.persistent.connect(p.Addr, rotationPersistent, "", rotationTimeout); err != nil {
+	if err := t.persistent.connect(proxy.Addr, rotationPersistent, "", rotationTimeout); err != nil {
 		return err
 	}
 	late, err := t.underLoad(r)
@@ -187,24 +187,24 @@
 	}
 	full, resumed := t.upstreams.handshakes()
 	rejected := len(t.proxy.LogLines("event=tls_files_kept"))
-	c, a := t.persistent, t.shortLived
+	persistent, shortLived := t.persistent, t.shortLived
 	r.StartTable("new connections", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99 ms")
-	r.AddRow("new connections", a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late, a.milliseconds.median(), a.milliseconds.quantile(0.99))
-	c.stopping.Store(true)
+	r.AddRow("new connections", shortLived.count("UP"), shortLived.count("BUSY"), shortLived.count("ERR"), shortLived.count("NONE"), shortLived.late, shortLived.milliseconds.median(), shortLived.milliseconds.quantile(0.99))
+	persistent.stopping.Store(true)
 	ended := t.proxy.Stop()
 	total := int(rotationRate * rotationDuration.Seconds())
-	r.Check(a.count("UP") == total && a.late == 0, "every new connection is served", fmt.Sprintf("%d of %d", a.count("UP"), total))
-	r.Check(len(c.lost) == 0 && c.migrations == 0 && established >= rotationPersistent, "no persistent connection is lost or migrated",
-		fmt.Sprintf("%d established, %d lost, %d migrated %s", established, len(c.lost), c.migrations, firstLosses(c.lost)))
+	r.Check(shortLived.count("UP") == total && shortLived.late == 0, "every new connection is served", fmt.Sprintf("%d of %d", shortLived.count("UP"), total))
+	r.Check(len(persistent.lost) == 0 && persistent.migrations == 0 && established >= rotationPersistent, "no persistent connection is lost or migrated",
+		fmt.Sprintf("%d established, %d lost, %d migrated %s", established, len(persistent.lost), persistent.migrations, firstLosses(persistent.lost)))
 	r.Check(len(serials) == 3, "the servers saw the three client certificates", len(serials))
 	r.Check(late == 0 && rejected >= 1, "files are used within 2 s; an incomplete bundle is logged and not used", fmt.Sprintf("%d late, %d logged", late, rejected))
 	failed := len(t.proxy.LogLines("event=tls_failed"))
 	r.Check(failed == 0, "no handshake failed", failed)
 	r.Check(ended == nil, "the proxy shut down without an error", fmt.Sprint(ended))
 	r.AddValue("opened", total)
-	r.AddValue("failed", total-a.count("UP"))
-	r.AddValue("lost", len(c.lost))
+	r.AddValue("failed", total-shortLived.count("UP"))
+	r.AddValue("lost", len(persistent.lost))
 	r.AddValue("full", full)
 	r.AddValue("resumed", resumed)
-	r.AddValue("p99_ms", a.milliseconds.quantile(0.99))
+	r.AddValue("p99_ms", shortLived.milliseconds.quantile(0.99))
 }
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -120,12 +120,12 @@
 			return nil, err
 		}
 	}
-	p, err := e.Proxy(Setup{Name: "storm", Discovery: upstreams.discovery.Addr(), InitialList: upstreams.discovery.List(), Settings: settings,
+	proxy, err := e.Proxy(Setup{Name: "storm", Discovery: upstreams.discovery.Addr(), InitialList: upstreams.discovery.List(), Settings: settings,
 		ConnectTimeout: 3500 * time.Millisecond, Deadline: stormTimeout})
 	if err != nil {
 		return nil, err
 	}
-	return &storm{stormCase: c, upstreams: upstreams, proxy: p, ownCore: p.isolateCPU(),
+	return &storm{stormCase: c, upstreams: upstreams, proxy: proxy, ownCore: proxy.isolateCPU(),
 		staying:   &persistentClients{answers: newAnswerCounts(), interval: 250 * time.Millisecond},
 		migrating: &persistentClients{answers: newAnswerCounts(), interval: 2 * time.Second, awaitMigrations: true, reconnectAfter: c.reconnectAfter}}, nil
 }
--- a/internal/testbed/experiment/tlsstormreport.go
+++ b/internal/testbed/experiment/tlsstormreport.go
@@ -11,8 +11,8 @@
 // count reads the counts of clients and servers. It must be called before the proxy shuts down,
 // which adds to them.
 func (s *storm) count(result *stormResult) {
-	a := s.migrating.answers
-	result.served, result.unanswered, result.late = a.count("UP"), a.count("NONE"), a.late
+	migrated := s.migrating.answers
+	result.served, result.unanswered, result.late = migrated.count("UP"), migrated.count("NONE"), migrated.late
 	result.lost = append(append([]string{}, s.staying.lost...), s.migrating.lost...)
 	for _, server := range s.upstreams.servers[1:] {
 		_, twice := server.Requests()
@@ -54,11 +54,11 @@
 		}
 		r.AddRow(title, s.name, server.UID, full, len(list)-full, maxHandshakesPerSecond(list), handshakeBudget)
 	}
-	a := s.migrating.answers
+	migrated := s.migrating.answers
 	const answers = "answers to the 500 migrated clients"
 	r.StartTable(answers, "handshakes", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99", "all reconnected after", "proxy CPU s")
-	r.AddRow(answers, s.name, a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late,
-		a.milliseconds.median(), a.milliseconds.quantile(0.99), result.reconnectedAfter, result.cpu.Seconds())
+	r.AddRow(answers, s.name, migrated.count("UP"), migrated.count("BUSY"), migrated.count("ERR"), migrated.count("NONE"), migrated.late,
+		migrated.milliseconds.median(), migrated.milliseconds.quantile(0.99), result.reconnectedAfter, result.cpu.Seconds())
 }
 
 // checkBounds checks the bounds and adds the values. ended is the error with which the proxy shut
