--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -19,8 +19,8 @@
 // Env holds the programs and the folder that an experiment uses.
 type Env struct {
 	Croftlock    string // path of the program under test
-	EarlierBuild string // path of an earlier build, with which hot restarts alternate; empty means that all processes run Croftlock
-	Self         string // path of croftlock-experiment, which also runs as a separate process, for example as the relay
+	EarlierBuild string // path of an earlier build that hot restarts alternate with; empty means none
+	Self         string // path of croftlock-experiment, for processes that run its relay or faults
 	Dir          string // folder for files, removed after the experiment
 	Logf         func(format string, args ...any)
 }
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -32,8 +32,8 @@
 type RigOptions struct {
 	Processes        int        // number of processes
 	Seed             uint64     // seed of the mesh's random faults
-	Key              string     // key that seals the datagrams between the processes; empty means that they are not sealed
-	SettingsSections string     // additional sections of the settings file; DIR is replaced by the folder of the process
+	Key              string     // seals datagrams between the processes; empty means unsealed
+	SettingsSections string     // more sections of the settings file; DIR stands for Rig.Dir
 	LogLevel         string     // level of the log; empty means info
 	Upstreams        *upstreams // hosts with their discovery, used instead of Discovery; may be nil
 	// Discovery is the discovery of all processes; nil means Upstreams, Discoveries or an address
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -21,7 +21,9 @@
 	faults        bool   // whether a fault starts about every 2 s
 	injectedFault string // fault in the program that the checker must detect; empty means none
 	duration      time.Duration
-	check         func(r *Report, o, baseline *rulesOutcome) // checks the bounds of this case; baseline is the outcome without changes
+
+	// check checks the bounds of this case. baseline is the outcome without changes.
+	check func(r *Report, o, baseline *rulesOutcome)
 }
 
 var rulesCases = []rulesCase{
@@ -39,7 +41,7 @@
 	r.StartTable(table, "case", "changes active", "active within, p50 p99", "decisions", "two versions at once, p99, longest", "no answer", "placed, p50 p99")
 	var baseline *rulesOutcome
 	for _, c := range rulesCases {
-		o, err := c.play(e)
+		o, err := c.run(e)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
@@ -80,8 +82,8 @@
 	r.Check(longest > maxVersionOverlap, "the checker finds a lease that is too long", longest)
 }
 
-// play runs the case on a rig of its own and returns the outcome.
-func (c *rulesCase) play(e *Env) (*rulesOutcome, error) {
+// run runs the case on a rig of its own and returns the outcome.
+func (c *rulesCase) run(e *Env) (*rulesOutcome, error) {
 	g, err := newRulesRig(e, ownersSection(3, false, "(rules on) (agree_within 1s)"), c.injectedFault)
 	if err != nil {
 		return nil, err
@@ -97,7 +99,7 @@
 		if !c.faults {
 			continue
 		}
-		if err := g.playRandomFault(rng); err != nil {
+		if err := g.injectRandomFault(rng); err != nil {
 			return nil, err
 		}
 		time.Sleep(time.Second)
@@ -105,9 +107,9 @@
 	return g.finish(), nil
 }
 
-// playRandomFault cuts off, pauses or kills a random process. A cut or a pause may last longer than
+// injectRandomFault cuts off, pauses or kills a random process. A cut or a pause may last longer than
 // a lease.
-func (g *rulesRig) playRandomFault(rng *rand.Rand) error {
+func (g *rulesRig) injectRandomFault(rng *rand.Rand) error {
 	i := rng.IntN(5)
 	switch rng.IntN(3) {
 	case 0:
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -14,8 +14,8 @@
 // cutOutcome is the outcome of the repetitions of one fault.
 type cutOutcome struct {
 	played          int
-	activationTimes []time.Duration // time from the proposal until its reply was read, which is after the recovery
-	recoveryTimes   []time.Duration // time from the end of the fault until all processes applied the same version
+	activationTimes []time.Duration // from the proposal until its reply was read after the recovery
+	recoveryTimes   []time.Duration // from the end of the fault until all processes applied one version
 	unknown         int             // changes with an unknown outcome
 	rejected        int             // changes rejected by the publisher
 }
@@ -24,7 +24,7 @@
 type cutFault struct {
 	name        string
 	repetitions int
-	kind        string // kind of simulation.Fault; playUntilEnd implements pause and kill
+	kind        string // kind of simulation.Fault; awaitFaultEnd performs pause and kill
 	duration    time.Duration
 }
 
@@ -55,15 +55,15 @@
 func rulesCut(e *Env, r *Report) error {
 	r.StartTable(rulesCutTable, "fault", "turns", "active after, p50 p99", "unknown, rejected", "all agree after its end, p50 p99", "two versions at once, longest", "no answer")
 	for _, s := range cutSuites() {
-		if err := s.play(e, r); err != nil {
+		if err := s.run(e, r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// play injects the suite's faults into a rig of its own and checks the bounds.
-func (s *cutSuite) play(e *Env, r *Report) error {
+// run injects the suite's faults into a rig of its own and checks the bounds.
+func (s *cutSuite) run(e *Env, r *Report) error {
 	g, err := newRulesRig(e, s.sections, "")
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.name, err)
@@ -71,7 +71,7 @@
 	defer g.Close()
 	var outcomes []*cutOutcome
 	for _, f := range s.faults {
-		o, err := g.playFault(f)
+		o, err := g.repeatFault(f)
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
@@ -91,21 +91,21 @@
 	return nil
 }
 
-// playFault runs all repetitions of a fault.
-func (g *rulesRig) playFault(f cutFault) (*cutOutcome, error) {
+// repeatFault runs all repetitions of a fault.
+func (g *rulesRig) repeatFault(f cutFault) (*cutOutcome, error) {
 	o := &cutOutcome{}
 	rng := rand.New(rand.NewPCG(7, uint64(len(f.name))))
 	for ; o.played < f.repetitions; o.played++ {
-		if err := g.playOnce(f, o, rng); err != nil {
+		if err := g.injectOnce(f, o, rng); err != nil {
 			return nil, err
 		}
 	}
 	return o, nil
 }
 
-// playOnce injects a fault into a random process, proposes a change while the fault lasts, and
+// injectOnce injects a fault into a random process, proposes a change while the fault lasts, and
 // waits until all processes apply the same version again.
-func (g *rulesRig) playOnce(f cutFault, o *cutOutcome, rng *rand.Rand) error {
+func (g *rulesRig) injectOnce(f cutFault, o *cutOutcome, rng *rand.Rand) error {
 	victim, via, err := g.pickVictim(f, o.played, rng)
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 	id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, version, o.played)
 	change := rules.EncodeProposal(rules.NewOperatorsChange(&rules.Version{ExcludedHosts: []string{fmt.Sprint("nobody", version, f.kind)}}, version, id))
 	go func() { answer <- g.query(via, change) }()
-	if err := g.playUntilEnd(f, victim, startedAt, rng); err != nil {
+	if err := g.awaitFaultEnd(f, victim, startedAt, rng); err != nil {
 		return err
 	}
 	if err := end(); err != nil {
@@ -130,11 +130,11 @@
 	}
 	// Any process may have lost its connection to the publisher and may still wait for a reply, so
 	// this queries all of them.
-	heal, ok := g.awaitAnswer(recoveryTimeout, func(answer string) bool { return strings.Contains(answer, " at 5 of 5") })
+	recovery, ok := g.awaitAnswer(recoveryTimeout, func(answer string) bool { return strings.Contains(answer, " at 5 of 5") })
 	if !ok {
 		return fmt.Errorf("processes apply different versions after the fault: %s", g.query(via, rules.QueryActive()))
 	}
-	o.recoveryTimes = append(o.recoveryTimes, heal)
+	o.recoveryTimes = append(o.recoveryTimes, recovery)
 	switch text := <-answer; {
 	case strings.HasPrefix(text, "active: "):
 		o.activationTimes = append(o.activationTimes, time.Since(startedAt))
@@ -169,8 +169,8 @@
 	return victim, via, nil
 }
 
-// playUntilEnd waits until the fault ends. It also performs pauses and kills.
-func (g *rulesRig) playUntilEnd(f cutFault, victim int, startedAt time.Time, rng *rand.Rand) error {
+// awaitFaultEnd waits until the fault is due to end. It also performs pauses and kills.
+func (g *rulesRig) awaitFaultEnd(f cutFault, victim int, startedAt time.Time, rng *rand.Rand) error {
 	switch f.kind {
 	case "pause":
 		g.pause(victim, f.duration)
@@ -202,7 +202,7 @@
 }
 
 // injectFault starts a fault at process i and returns the function that ends it. It does nothing
-// for pauses and kills, which playUntilEnd performs.
+// for pauses and kills, which awaitFaultEnd performs.
 func (g *rulesRig) injectFault(f cutFault, i int) (end func() error, err error) {
 	processes := []int{i}
 	switch f.kind {
--- a/internal/testbed/experiment/rulesoutcome.go
+++ b/internal/testbed/experiment/rulesoutcome.go
@@ -19,7 +19,7 @@
 
 	decisions       int
 	lapsedDecisions int             // decisions without a valid lease
-	overlapTimes    []time.Duration // for each decision by an older version, the time since the first decision by a newer one
+	overlapTimes    []time.Duration // of decisions by an older version, since the first by a newer one
 }
 
 // ruleDecision is one logged decision and the rules version that it applied.
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -22,7 +22,7 @@
 		RunE:    func(cmd *cobra.Command, _ []string) error { return o.run(cmd.OutOrStdout()) }}
 	owner.Flags().IntVar(&o.firstSeed, "first", 1, "first seed")
 	owner.Flags().IntVar(&o.seeds, "seeds", 2000, "number of seeds")
-	owner.Flags().IntVar(&o.show, "show", 1, "number of failures to print with their plans")
+	owner.Flags().IntVar(&o.maxPrinted, "show", 1, "number of failures to print with their plans")
 	owner.Flags().StringVar(&o.plantedFault, "plant", "", "fault to inject into the program: skip-sync, eager, from-answer or forget")
 	root.AddCommand(owner)
 	return root
@@ -31,7 +31,7 @@
 // simOptions specify the plans that are simulated.
 type simOptions struct {
 	firstSeed, seeds int    // the first seed, and the number of seeds
-	show             int    // number of failures to print with their plans
+	maxPrinted       int    // number of failures to print with their plans
 	plantedFault     string // key of plantedFaults; a fault that the simulation must detect
 }
 
@@ -42,24 +42,24 @@
 		return fmt.Errorf("unknown fault %q; known faults are skip-sync, eager, from-answer and forget", o.plantedFault)
 	}
 	startedAt := time.Now()
-	sum := simTotals{out: out, show: o.show}
+	totals := simTotals{out: out, maxPrinted: o.maxPrinted}
 	parallel.ForEach(o.firstSeed, o.firstSeed+o.seeds, func(i int) {
 		seed := uint64(i)
 		c := simulation.Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
 		plant(&c)
-		sum.play(c)
+		totals.simulate(c)
 	})
-	sum.print(o, time.Since(startedAt))
-	if sum.failed > 0 {
-		return fmt.Errorf("%d of %d plans failed, the first at seed %d", sum.failed, o.seeds, sum.firstFailed)
+	totals.print(o, time.Since(startedAt))
+	if totals.failed > 0 {
+		return fmt.Errorf("%d of %d plans failed, the first at seed %d", totals.failed, o.seeds, totals.firstFailed)
 	}
 	return nil
 }
 
 // simTotals adds up the results of the plans.
 type simTotals struct {
-	out  io.Writer
-	show int // number of failures to print
+	out        io.Writer
+	maxPrinted int // number of failures to print
 
 	mu          sync.Mutex
 	totals      simulation.Run // sums of the counts, and all owner gaps
@@ -67,8 +67,8 @@
 	firstFailed uint64 // smallest seed that failed
 }
 
-// play simulates one plan and adds its result.
-func (s *simTotals) play(c simulation.Config) {
+// simulate simulates one plan and adds its result.
+func (s *simTotals) simulate(c simulation.Config) {
 	r := simulation.New(c)
 	plan := r.Faults()
 	err := r.Play()
@@ -86,13 +86,13 @@
 	s.totals.OwnerGaps = append(s.totals.OwnerGaps, r.OwnerGaps...)
 }
 
-// recordFailure counts a failed plan, and prints it if fewer than s.show failures have been
+// recordFailure counts a failed plan, and prints it if fewer than s.maxPrinted failures have been
 // printed.
 func (s *simTotals) recordFailure(seed uint64, plan []simulation.Fault, err error) {
 	if s.failed == 0 || seed < s.firstFailed {
 		s.firstFailed = seed
 	}
-	if s.failed++; s.failed > s.show {
+	if s.failed++; s.failed > s.maxPrinted {
 		return
 	}
 	fmt.Fprintf(s.out, "%v\n", err)
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -76,7 +76,7 @@
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			var err error
-			outcomes[i], err = cases[i].play(e)
+			outcomes[i], err = cases[i].run(e)
 			outcomes[i].err = err
 		}()
 	}
@@ -110,8 +110,8 @@
 	return o.reason
 }
 
-// play sends one request to the faulty server through a proxy.
-func (c *faultCase) play(e *Env) (o faultOutcome, err error) {
+// run sends one request to the faulty server through a proxy.
+func (c *faultCase) run(e *Env) (o faultOutcome, err error) {
 	pki, err := fake.NewPKI("s1.lab")
 	if err != nil {
 		return o, err
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -91,7 +91,7 @@
 // replacement is one replacement of files.
 type replacement struct {
 	description string
-	ofProxy     bool // whether these are files of the proxy, which it reloads; files of servers take effect at the next handshakes
+	ofProxy     bool // the proxy reloads these files; otherwise servers use them from the next handshake on
 	replace     func() error
 }
 
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -43,7 +43,7 @@
 // cost of reconnecting alone.
 func tlsStorm(e *Env, r *Report) error {
 	for _, c := range stormCases {
-		if err := c.play(e, r); err != nil {
+		if err := c.run(e, r); err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
 	}
@@ -62,7 +62,7 @@
 
 // stormResult holds the measurements of one storm.
 type stormResult struct {
-	latenciesBefore, latenciesDuring samples        // latencies of the staying clients' lines before and during the storm, in milliseconds
+	latenciesBefore, latenciesDuring samples        // milliseconds from the staying clients' lines to the answers
 	handshakesBefore                 map[string]int // number of handshakes before the storm, by server
 	reloadsBefore                    int            // reloads of TLS files before the storm
 	reconnectedAfter                 time.Duration  // time until all clients were connected again; 0 if some were not
@@ -74,8 +74,8 @@
 	repeatedRequests         int      // requests that a server received twice
 }
 
-// play runs the case and adds its results to the report.
-func (c stormCase) play(e *Env, r *Report) error {
+// run runs the case and adds its results to the report.
+func (c stormCase) run(e *Env, r *Report) error {
 	s, err := c.prepare(e)
 	if err != nil {
 		return err
