--- a/internal/testbed/experiment/tlsstormreport.go
+++ b/internal/testbed/experiment/tlsstormreport.go
@@ -8,10 +8,11 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// count reads the counts of clients and servers, before the shutdown of the proxy adds to them.
+// count reads the counts of clients and servers. It must be called before the proxy shuts down,
+// which adds to them.
 func (s *storm) count(result *stormResult) {
-	a := s.migrating.answers
-	result.served, result.unanswered, result.late = a.count("UP"), a.count("NONE"), a.late
+	migrated := s.migrating.answers
+	result.served, result.unanswered, result.late = migrated.count("UP"), migrated.count("NONE"), migrated.late
 	result.lost = append(append([]string{}, s.staying.lost...), s.migrating.lost...)
 	for _, server := range s.upstreams.servers[1:] {
 		_, twice := server.Requests()
@@ -23,15 +24,15 @@
 	}
 }
 
-// handshakesDuring are the handshakes of a server since the storm began.
+// handshakesDuring returns the server's handshakes since the storm began.
 func (result *stormResult) handshakesDuring(server *fake.Server) []fake.Handshake {
 	return server.Handshakes()[result.handshakesBefore[server.UID]:]
 }
 
-// handshakeBudget is how many full handshakes one server may get in a second.
+// handshakeBudget is the maximum number of full handshakes that one server may get in a second.
 var handshakeBudget = float64(hostRate) * (1 + stormBurst.Seconds())
 
-// writeTables adds the rows of this case.
+// writeTables adds the rows of this case to the tables.
 func (s *storm) writeTables(r *Report, result *stormResult) {
 	const lines = "lines of the 300 staying clients, milliseconds to the answer"
 	r.StartTable(lines, "handshakes", "when", "lines", "p50", "p90", "p99", "max")
@@ -53,17 +54,18 @@
 		}
 		r.AddRow(title, s.name, server.UID, full, len(list)-full, maxHandshakesPerSecond(list), handshakeBudget)
 	}
-	a := s.migrating.answers
+	migrated := s.migrating.answers
 	const answers = "answers to the 500 migrated clients"
 	r.StartTable(answers, "handshakes", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99", "all reconnected after", "proxy CPU s")
-	r.AddRow(answers, s.name, a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late,
-		a.milliseconds.median(), a.milliseconds.quantile(0.99), result.reconnectedAfter, result.cpu.Seconds())
+	r.AddRow(answers, s.name, migrated.count("UP"), migrated.count("BUSY"), migrated.count("ERR"), migrated.count("NONE"), migrated.late,
+		migrated.milliseconds.median(), migrated.milliseconds.quantile(0.99), result.reconnectedAfter, result.cpu.Seconds())
 }
 
-// checkBounds checks the bounds; ended is the proxy's exit status.
+// checkBounds checks the bounds and adds the values. ended is the error with which the proxy shut
+// down, or nil.
 func (s *storm) checkBounds(r *Report, result *stormResult, ended error) {
 	if !s.ownCore {
-		r.Remarks = append(r.Remarks, "fewer than three cores: the stand-ins run on the proxy's core, and its delays include theirs")
+		r.Remarks = append(r.Remarks, "fewer than three cores: the fakes share the proxy's core, and its delays include theirs")
 	}
 	filesTaken := len(s.proxy.LogLines("event=tls_files_taken"))
 	p99Before, p99During := result.latenciesBefore.quantile(0.99), result.latenciesDuring.quantile(0.99)
@@ -84,7 +86,8 @@
 	r.AddValue("memory_mb", float64(s.proxy.peakMemory)/(1<<20))
 }
 
-// maxHandshakesPerSecond is the largest number of handshakes within any second; a resumed one counts as half, as in the budget.
+// maxHandshakesPerSecond returns the largest number of handshakes within any second. As in the
+// budget, a resumed handshake counts as half. It sorts list by completion time.
 func maxHandshakesPerSecond(list []fake.Handshake) float64 {
 	sort.Slice(list, func(i, j int) bool { return list[i].CompletedAt.Before(list[j].CompletedAt) })
 	weight := func(h fake.Handshake) float64 {
