--- a/cmd/croftlock-simulator-adapter/main.go
+++ b/cmd/croftlock-simulator-adapter/main.go
@@ -34,7 +34,7 @@
 	for {
 		line, err := r.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
-			reply, batchErr := adapter.Batch(line)
+			reply, batchErr := adapter.HandleBatch(line)
 			if batchErr != nil {
 				return batchErr
 			}
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -42,15 +42,15 @@
 
 // printLoss prints the causes for which clients were not connected, or to slow hosts.
 func printLoss(w io.Writer, loss *fleetlog.Loss) error {
-	total := max(loss.All(), 1e-9)
+	total := max(loss.Total(), 1e-9)
 	fmt.Fprintf(w, "\nclient seconds %.0f: good %.1f%%, on overloaded hosts %.1f%%, on slow hosts %.1f%%, "+
 		"waiting %.1f%%, after a broken connection %.1f%%, after a rejection %.1f%%, after a migration %.1f%%\n",
-		loss.All(), 100*loss.Good/total, 100*loss.Crowded/total, 100*loss.Slow/total, 100*loss.Waiting/total, 100*loss.Broken/total, 100*loss.Rejected/total, 100*loss.Migrated/total)
-	fmt.Fprintf(w, "largest share of a host over the mean, by weight: median %.2f, max %.2f\n", loss.Spread, loss.SpreadWorst)
+		loss.Total(), 100*loss.Good/total, 100*loss.Overloaded/total, 100*loss.Slow/total, 100*loss.Waiting/total, 100*loss.Broken/total, 100*loss.Rejected/total, 100*loss.Migrated/total)
+	fmt.Fprintf(w, "largest share of a host over the mean, by weight: median %.2f, max %.2f\n", loss.MedianSpread, loss.MaxSpread)
 	table := tabwriter.NewWriter(w, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "\nhost\testablished s\toverloaded s\tslow s\tbroken\tshare, mean\tmax\t")
 	for _, h := range loss.Hosts[:min(10, len(loss.Hosts))] {
-		fmt.Fprintf(table, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t\n", h.Name, h.Connected, h.Crowded, h.Slow, h.Broken, h.Share, h.ShareOf)
+		fmt.Fprintf(table, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t\n", h.Name, h.Connected, h.Overloaded, h.Slow, h.Broken, h.MeanShare, h.MaxShare)
 	}
 	return table.Flush()
 }
@@ -58,7 +58,7 @@
 // printFleet prints what all proxies did, by time window and by host.
 func printFleet(out io.Writer, log *fleetlog.Log, fleet *fleetlog.Fleet) error {
 	fmt.Fprintf(out, "%d proxies, %d events, %d lines skipped, from %s\n\n", log.Proxies, len(log.Events), log.Skipped,
-		fleet.Began.Format(time.RFC3339))
+		fleet.Start.Format(time.RFC3339))
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "s\trequests\treturned\tattempts\testablished\trejected\tfailed\tbroken\topen\tgroup placements\tstarted\tdiscovery failed\t")
 	for _, w := range fleet.Windows {
@@ -67,17 +67,17 @@
 			failures = append(failures, fmt.Sprintf("%s %d", status, n))
 		}
 		sort.Strings(failures)
-		fmt.Fprintf(t, "%.0f\t%d\t%d\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t\n", w.From.Seconds(), w.Requests, w.Returned, w.Sent,
-			w.Established, w.Rejected, strings.Join(failures, ", "), w.Broken, w.Open, w.Places, w.Started, w.DiscoveryFailed)
+		fmt.Fprintf(t, "%.0f\t%d\t%d\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t\n", w.From.Seconds(), w.Requests, w.Returned, w.Attempts,
+			w.Established, w.Rejected, strings.Join(failures, ", "), w.Broken, w.Open, w.Placements, w.ProcessStarts, w.DiscoveryFailed)
 	}
 	fmt.Fprintln(t, "\nhost\tzone\tweight\tattempts\twhile warming up\tpeak of these\topen\tslowest ms\t\t\t\t\t")
 	for _, h := range fleet.Hosts {
-		fmt.Fprintf(t, "%s\t%s\t%g\t%d\t%d\t%d\t%d\t%.0f\t\t\t\t\t\n", h.Name, h.Zone, h.Weight, h.Sent, h.ColdSent, h.ColdPeak, h.Open,
-			h.SlowestMS)
+		fmt.Fprintf(t, "%s\t%s\t%g\t%d\t%d\t%d\t%d\t%.0f\t\t\t\t\t\n", h.Name, h.Zone, h.Weight, h.Attempts, h.WarmUpAttempts, h.WarmUpPeak, h.Open,
+			h.MaxDelayMS)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "\nattempts a request %.2f\n", float64(fleet.Sent)/float64(max(1, fleet.Requests)))
+	_, err := fmt.Fprintf(out, "\nattempts a request %.2f\n", float64(fleet.Attempts)/float64(max(1, fleet.Requests)))
 	return err
 }
--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -11,37 +11,37 @@
 	From            time.Duration  // since the first event
 	Requests        int            // requests that came
 	Returned        int            // of them, from clients that came again
-	Sent            int            // attempts that the decision module placed
+	Attempts        int            // attempts that the decision module placed
 	Established     int            // connections that were established
 	Rejected        int            // requests
 	Failed          map[string]int // attempts that were not established, by status
 	Broken          int            // established connections that broke
 	Open            int            // established connections at its end
-	Places          int            // at its end, pairs of host and group
-	Started         int            // processes that became ready
+	Placements      int            // at its end, pairs of host and group
+	ProcessStarts   int            // processes that became ready
 	DiscoveryFailed int
-	Listed          int // hosts that changed in some proxy's list
+	HostUpdates     int // hosts that changed in some proxy's list
 }
 
 // Host is what all proxies together did with one host.
 type Host struct {
-	Name, Zone string
-	Weight     float64
-	Since      time.Time // its latest start; zero: long ago
-	Sent       int       // attempts
-	ColdSent   int       // attempts within the warm-up that the caller states
-	ColdPeak   int       // most of those in any stretch of the length that the caller states
-	Open       int       // established connections at the end
-	SlowestMS  float64   // longest message delay reported, milliseconds
+	Name, Zone     string
+	Weight         float64
+	StartedAt      time.Time // its latest start; zero: long ago
+	Attempts       int       // attempts
+	WarmUpAttempts int       // attempts within the warm-up that the caller states
+	WarmUpPeak     int       // most of those in any stretch of the length that the caller states
+	Open           int       // established connections at the end
+	MaxDelayMS     float64   // longest message delay reported, milliseconds
 }
 
 // Fleet is the counts of all proxies.
 type Fleet struct {
-	Began    time.Time
+	Start    time.Time
 	Windows  []*Window
 	Hosts    []*Host // by name
 	Requests int
-	Sent     int
+	Attempts int
 }
 
 // connection is the host of an established connection, and its group.
@@ -63,7 +63,7 @@
 // Count goes through a log in windows of the given length. A host is cold for warmUp after its start, and its peak is the most attempts in
 // any stretch of peakOver.
 func Count(l *Log, window, warmUp, peakOver time.Duration) *Fleet {
-	c := &counter{fleet: &Fleet{Began: l.Events[0].Time}, windowLength: window, warmUpPeriod: warmUp, peakOver: peakOver, hosts: map[string]*Host{},
+	c := &counter{fleet: &Fleet{Start: l.Events[0].Time}, windowLength: window, warmUpPeriod: warmUp, peakOver: peakOver, hosts: map[string]*Host{},
 		coldSentAt: map[string][]time.Time{}, established: map[string]map[string]connection{}, groupOf: map[string]string{}}
 	for _, e := range l.Events {
 		c.advance(e.Time)
@@ -85,7 +85,7 @@
 
 // advance begins the windows up to that of a time.
 func (c *counter) advance(to time.Time) {
-	passed := to.Sub(c.fleet.Began)
+	passed := to.Sub(c.fleet.Start)
 	for c.window == nil || passed >= c.window.From+c.windowLength {
 		from := time.Duration(0)
 		if c.window != nil {
@@ -106,14 +106,14 @@
 			places[at] = true
 		}
 	}
-	c.window.Places = len(places)
+	c.window.Placements = len(places)
 }
 
 // take counts one event.
 func (c *counter) take(e Event) {
 	switch e.Name {
 	case "ready":
-		c.window.Started++
+		c.window.ProcessStarts++
 		c.established[e.Proxy] = map[string]connection{} // a new process has no connections
 	case "request_received":
 		c.requestReceived(e)
@@ -131,8 +131,8 @@
 		c.hostUpdated(e)
 	case "load_reported":
 		if ms, ok := reportedDelay(e); ok {
-			h := c.host(e.Field["host"])
-			h.SlowestMS = max(h.SlowestMS, ms)
+			h := c.host(e.Fields["host"])
+			h.MaxDelayMS = max(h.MaxDelayMS, ms)
 		}
 	}
 }
@@ -140,22 +140,22 @@
 func (c *counter) requestReceived(e Event) {
 	c.window.Requests++
 	c.fleet.Requests++
-	c.groupOf[e.Field["request"]] = e.Field["group"]
-	if e.Field["returned"] == "true" || e.Field["retry"] == "true" {
+	c.groupOf[e.Fields["request"]] = e.Fields["group"]
+	if e.Fields["returned"] == "true" || e.Fields["retry"] == "true" {
 		c.window.Returned++
 	}
 }
 
 func (c *counter) attemptStarted(e Event) {
-	if _, placed := c.groupOf[e.Field["request"]]; !placed {
+	if _, placed := c.groupOf[e.Fields["request"]]; !placed {
 		return // restored at its host from before the start, which is no placement
 	}
-	c.window.Sent++
-	c.fleet.Sent++
-	h := c.host(e.Field["host"])
-	h.Sent++
-	if !h.Since.IsZero() && e.Time.Sub(h.Since) < c.warmUpPeriod {
-		h.ColdSent++
+	c.window.Attempts++
+	c.fleet.Attempts++
+	h := c.host(e.Fields["host"])
+	h.Attempts++
+	if !h.StartedAt.IsZero() && e.Time.Sub(h.StartedAt) < c.warmUpPeriod {
+		h.WarmUpAttempts++
 		c.coldSentAt[h.Name] = append(c.coldSentAt[h.Name], e.Time)
 	}
 }
@@ -165,26 +165,26 @@
 	if c.established[e.Proxy] == nil {
 		c.established[e.Proxy] = map[string]connection{}
 	}
-	request := e.Field["request"]
-	c.established[e.Proxy][request] = connection{e.Field["host"], c.groupOf[request]}
+	request := e.Fields["request"]
+	c.established[e.Proxy][request] = connection{e.Fields["host"], c.groupOf[request]}
 }
 
 func (c *counter) attemptEnded(e Event) {
-	delete(c.established[e.Proxy], e.Field["request"])
-	if e.Field["established"] != "true" {
-		c.window.Failed[e.Field["status"]]++
-	} else if e.Field["status"] == "reset" {
+	delete(c.established[e.Proxy], e.Fields["request"])
+	if e.Fields["established"] != "true" {
+		c.window.Failed[e.Fields["status"]]++
+	} else if e.Fields["status"] == "reset" {
 		c.window.Broken++
 	}
 }
 
 func (c *counter) hostUpdated(e Event) {
-	c.window.Listed++
-	h := c.host(e.Field["host"])
-	h.Zone = e.Field["zone"]
-	h.Weight, _ = strconv.ParseFloat(e.Field["weight"], 64)
-	if ms, err := strconv.ParseInt(e.Field["since_ms"], 10, 64); err == nil && ms > 0 {
-		h.Since = time.UnixMilli(ms).UTC()
+	c.window.HostUpdates++
+	h := c.host(e.Fields["host"])
+	h.Zone = e.Fields["zone"]
+	h.Weight, _ = strconv.ParseFloat(e.Fields["weight"], 64)
+	if ms, err := strconv.ParseInt(e.Fields["since_ms"], 10, 64); err == nil && ms > 0 {
+		h.StartedAt = time.UnixMilli(ms).UTC()
 	}
 }
 
@@ -196,7 +196,7 @@
 		}
 	}
 	for name, h := range c.hosts {
-		h.ColdPeak = peak(c.coldSentAt[name], c.peakOver)
+		h.WarmUpPeak = peak(c.coldSentAt[name], c.peakOver)
 		c.fleet.Hosts = append(c.fleet.Hosts, h)
 	}
 	sort.Slice(c.fleet.Hosts, func(i, j int) bool { return c.fleet.Hosts[i].Name < c.fleet.Hosts[j].Name })
@@ -218,6 +218,6 @@
 
 // reportedDelay is the message delay that an event reports, in milliseconds; false: it reports something else.
 func reportedDelay(e Event) (ms float64, ok bool) {
-	ms, err := strconv.ParseFloat(e.Field["value"], 64)
-	return ms, err == nil && e.Field["delay"] == "true"
+	ms, err := strconv.ParseFloat(e.Fields["value"], 64)
+	return ms, err == nil && e.Fields["delay"] == "true"
 }
--- a/internal/testbed/fleetlog/fieldnames_test.go
+++ b/internal/testbed/fleetlog/fieldnames_test.go
@@ -36,7 +36,7 @@
 		const at = "2026/01/02 03:04:05.000006 event="
 		earlier, ok := parse(at + c.earlier)
 		current, ok2 := parse(at + c.current)
-		if !ok || !ok2 || earlier.Name != current.Name || !maps.Equal(earlier.Field, current.Field) {
+		if !ok || !ok2 || earlier.Name != current.Name || !maps.Equal(earlier.Fields, current.Fields) {
 			t.Errorf("%s: the earlier line is read as %+v, this version's as %+v", c.what, earlier, current)
 		}
 	}
@@ -45,7 +45,7 @@
 // TestCurrentFieldNames: what a line of this version says is not taken for the earlier field of the same name.
 func TestCurrentFieldNames(t *testing.T) {
 	e, ok := parse("2026/01/02 03:04:05.000006 event=counts rejected=6 invalid_requests=8")
-	if want := map[string]string{"rejected": "6", "invalid_requests": "8"}; !ok || !maps.Equal(e.Field, want) {
-		t.Errorf("read as %v, want %v", e.Field, want)
+	if want := map[string]string{"rejected": "6", "invalid_requests": "8"}; !ok || !maps.Equal(e.Fields, want) {
+		t.Errorf("read as %v, want %v", e.Fields, want)
 	}
 }
--- a/internal/testbed/fleetlog/fleetlog.go
+++ b/internal/testbed/fleetlog/fleetlog.go
@@ -17,10 +17,10 @@
 
 // Event is one line of one proxy's log.
 type Event struct {
-	Time  time.Time
-	Proxy string
-	Name  string
-	Field map[string]string
+	Time   time.Time
+	Proxy  string
+	Name   string
+	Fields map[string]string
 }
 
 // maxLine is the longest line that is read, in bytes; a longer one is not of croftlock's log.
@@ -104,7 +104,7 @@
 	if err != nil {
 		return Event{}, false
 	}
-	e := Event{Time: when, Field: map[string]string{}}
+	e := Event{Time: when, Fields: map[string]string{}}
 	for rest := strings.TrimSpace(line[at+1:]); rest != ""; {
 		key, value, found := strings.Cut(rest, "=")
 		if !found || key == "" || strings.ContainsAny(key, " \"") {
@@ -123,9 +123,9 @@
 		if key == "event" {
 			e.Name = currentName(value)
 		} else {
-			e.Field[key] = value
+			e.Fields[key] = value
 		}
 	}
-	e.Field = currentFields(e.Name, e.Field)
+	e.Fields = currentFields(e.Name, e.Fields)
 	return e, e.Name != ""
 }
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -64,18 +64,18 @@
 		t.Fatalf("%d windows", len(f.Windows))
 	}
 	w := f.Windows[0]
-	if w.Requests != 2 || w.Returned != 1 || w.Sent != 4 || w.Established != 2 || w.Rejected != 3 || w.Failed["connect_failed"] != 2 ||
-		w.Open != 2 || w.Places != 1 || w.Started != 2 || w.Listed != 2 {
+	if w.Requests != 2 || w.Returned != 1 || w.Attempts != 4 || w.Established != 2 || w.Rejected != 3 || w.Failed["connect_failed"] != 2 ||
+		w.Open != 2 || w.Placements != 1 || w.ProcessStarts != 2 || w.HostUpdates != 2 {
 		t.Errorf("%+v", w)
 	}
 	if len(f.Hosts) != 2 {
 		t.Fatalf("%d hosts", len(f.Hosts))
 	}
-	if h := f.Hosts[1]; h.Name != "s1" || h.Zone != "zone a" || h.Sent != 2 || h.ColdSent != 2 || h.ColdPeak != 2 || h.Open != 2 ||
-		h.SlowestMS != 250.5 || h.Weight != 1.5 {
+	if h := f.Hosts[1]; h.Name != "s1" || h.Zone != "zone a" || h.Attempts != 2 || h.WarmUpAttempts != 2 || h.WarmUpPeak != 2 || h.Open != 2 ||
+		h.MaxDelayMS != 250.5 || h.Weight != 1.5 {
 		t.Errorf("%+v", h)
 	}
-	if h := f.Hosts[0]; h.ColdSent != 0 || h.Sent != 2 {
+	if h := f.Hosts[0]; h.WarmUpAttempts != 0 || h.Attempts != 2 {
 		t.Errorf("%+v", h)
 	}
 }
@@ -125,9 +125,9 @@
 	at := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	var l Log
 	say := func(s float64, event string, kv ...string) {
-		e := Event{Time: at.Add(time.Duration(s * float64(time.Second))), Proxy: "n0", Name: event, Field: map[string]string{}}
+		e := Event{Time: at.Add(time.Duration(s * float64(time.Second))), Proxy: "n0", Name: event, Fields: map[string]string{}}
 		for i := 0; i < len(kv); i += 2 {
-			e.Field[kv[i]] = kv[i+1]
+			e.Fields[kv[i]] = kv[i+1]
 		}
 		l.Events = append(l.Events, e)
 	}
@@ -152,13 +152,13 @@
 	for _, c := range []struct {
 		what      string
 		got, want float64
-	}{{"waiting", got.Waiting, 4}, {"crowded", got.Crowded, 4.5}, {"slow", got.Slow, 1.5}, {"broken", got.Broken, 2}, {"migrated", got.Migrated, 10}, {"rejected", got.Rejected, 10},
+	}{{"waiting", got.Waiting, 4}, {"crowded", got.Overloaded, 4.5}, {"slow", got.Slow, 1.5}, {"broken", got.Broken, 2}, {"migrated", got.Migrated, 10}, {"rejected", got.Rejected, 10},
 		{"good", got.Good, 3*5.5 + 57.5}} {
 		if c.got < c.want-0.8 || c.got > c.want+0.8 {
 			t.Errorf("%s: %.2f s, want %.2f", c.what, c.got, c.want)
 		}
 	}
-	if got.SpreadWorst != 0 || len(got.Hosts) != 3 || got.Hosts[0].Name != "a" || got.Hosts[0].Broken != 1 {
+	if got.MaxSpread != 0 || len(got.Hosts) != 3 || got.Hosts[0].Name != "a" || got.Hosts[0].Broken != 1 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -10,31 +10,31 @@
 type Loss struct {
 	Good float64
 	// Connected to a host where messages took long: one with more connections than its share, and one without.
-	Crowded, Slow float64
+	Overloaded, Slow float64
 	// Not connected: before the answer, after a connection was broken, after a rejection, after a migration; each until the client came again,
-	// MaxAway at most.
+	// MaxDisconnected at most.
 	Waiting, Broken, Rejected, Migrated float64
-	// Spread is the most connections of a host over the mean, for its weight: the median over the samples, and the worst.
-	Spread, SpreadWorst float64
-	Hosts               []HostLoss // those that lost most first
+	// MedianSpread is the most connections of a host over the mean, for its weight: the median over the samples, and the worst.
+	MedianSpread, MaxSpread float64
+	Hosts                   []HostLoss // those that lost most first
 }
 
 // HostLoss is a host's part.
 type HostLoss struct {
-	Name                     string
-	Connected, Crowded, Slow float64 // seconds of connections
-	Broken                   float64 // connections that broke
-	Share, ShareOf           float64 // the mean and the most of its load over the fleet's mean, for its weight
+	Name                        string
+	Connected, Overloaded, Slow float64 // seconds of connections
+	Broken                      float64 // connections that broke
+	MeanShare, MaxShare         float64 // the mean and the most of its load over the fleet's mean, for its weight
 }
 
-// All is every second.
-func (l *Loss) All() float64 {
-	return l.Good + l.Crowded + l.Slow + l.Waiting + l.Broken + l.Rejected + l.Migrated
+// Total is every second.
+func (l *Loss) Total() float64 {
+	return l.Good + l.Overloaded + l.Slow + l.Waiting + l.Broken + l.Rejected + l.Migrated
 }
 
 const (
-	// MaxAway bounds what a client that does not come again is counted for.
-	MaxAway = 10 * time.Second
+	// MaxDisconnected bounds what a client that does not come again is counted for.
+	MaxDisconnected = 10 * time.Second
 	// delayReportLifetime is how long a reported delay counts.
 	delayReportLifetime = 1500 * time.Millisecond
 	// crowdedShare is how many times its share of connections a host has to have for its slowness to count as load.
@@ -99,7 +99,7 @@
 
 // take notes what an event changes.
 func (c *lossCounter) take(e Event) {
-	request, host := e.Field["request"], e.Field["host"]
+	request, host := e.Fields["request"], e.Fields["host"]
 	set := func(state clientState, host string) { c.clients[request] = &client{state, host, e.Time} }
 	switch e.Name {
 	case "host_updated":
@@ -114,10 +114,10 @@
 		set(clientRejected, "")
 	case "attempt_ended":
 		switch {
-		case e.Field["established"] != "true":
-		case e.Field["status"] == "ok":
+		case e.Fields["established"] != "true":
+		case e.Fields["status"] == "ok":
 			delete(c.clients, request)
-		case e.Field["status"] == "reset":
+		case e.Fields["status"] == "reset":
 			c.host(host).Broken++
 			set(clientBroken, "")
 		default:
@@ -132,8 +132,8 @@
 
 // usableWeight is a listed host's weight; 0 where it takes nothing new, since its connections are to go elsewhere.
 func usableWeight(e Event) float64 {
-	weight, err := strconv.ParseFloat(e.Field["weight"], 64)
-	if err != nil || e.Field["state"] != "ready" {
+	weight, err := strconv.ParseFloat(e.Fields["weight"], 64)
+	if err != nil || e.Fields["state"] != "ready" {
 		return 0
 	}
 	return weight
@@ -144,15 +144,15 @@
 	shares, connected := c.shares()
 	top := 0.0
 	for name, h := range c.hosts {
-		h.Share += shares[name]
-		h.ShareOf = max(h.ShareOf, shares[name])
+		h.MeanShare += shares[name]
+		h.MaxShare = max(h.MaxShare, shares[name])
 		top = max(top, shares[name])
 	}
 	if connected > minSpreadConnections {
 		c.spreads = append(c.spreads, top)
 	}
 	for request, client := range c.clients {
-		if client.state != clientConnected && now.Sub(client.since) > MaxAway {
+		if client.state != clientConnected && now.Sub(client.since) > MaxDisconnected {
 			delete(c.clients, request)
 			continue
 		}
@@ -205,8 +205,8 @@
 		case !now.Before(c.slowUntil[client.host]):
 			c.loss.Good += seconds
 		case shares[client.host] > crowdedShare:
-			c.loss.Crowded += seconds
-			h.Crowded += seconds
+			c.loss.Overloaded += seconds
+			h.Overloaded += seconds
 		default:
 			c.loss.Slow += seconds
 			h.Slow += seconds
@@ -217,18 +217,18 @@
 // finish makes means of sums, and puts the hosts in order.
 func (c *lossCounter) finish(samples float64) {
 	for _, h := range c.hosts {
-		h.Share /= samples
+		h.MeanShare /= samples
 		c.loss.Hosts = append(c.loss.Hosts, *h)
 	}
 	sort.Slice(c.loss.Hosts, func(i, j int) bool {
 		a, b := c.loss.Hosts[i], c.loss.Hosts[j]
-		if x, y := a.Crowded+a.Slow, b.Crowded+b.Slow; x != y {
+		if x, y := a.Overloaded+a.Slow, b.Overloaded+b.Slow; x != y {
 			return x > y
 		}
 		return a.Name < b.Name
 	})
 	if len(c.spreads) > 0 {
 		sort.Float64s(c.spreads)
-		c.loss.Spread, c.loss.SpreadWorst = c.spreads[len(c.spreads)/2], c.spreads[len(c.spreads)-1]
+		c.loss.MedianSpread, c.loss.MaxSpread = c.spreads[len(c.spreads)/2], c.spreads[len(c.spreads)-1]
 	}
 }
--- a/internal/testbed/simulator/adapter.go
+++ b/internal/testbed/simulator/adapter.go
@@ -33,9 +33,9 @@
 	errNoType = errors.New("no event_type")
 )
 
-// Batch answers one line of events with one line of actions, which is valid until the next call. An error says
+// HandleBatch answers one line of events with one line of actions, which is valid until the next call. An error says
 // which message cannot be understood; then there is no reply.
-func (a *Adapter) Batch(line []byte) ([]byte, error) {
+func (a *Adapter) HandleBatch(line []byte) ([]byte, error) {
 	var in batch
 	if err := json.Unmarshal(line, &in); err != nil {
 		return nil, fmt.Errorf("malformed batch: %v", err)
--- a/internal/testbed/simulator/adapter_test.go
+++ b/internal/testbed/simulator/adapter_test.go
@@ -50,7 +50,7 @@
 
 func TestRequestStartsAttempt(t *testing.T) {
 	a := NewAdapter(balancer.New)
-	out, err := a.Batch(line(initMsg, sheet, members, inbound("q")))
+	out, err := a.HandleBatch(line(initMsg, sheet, members, inbound("q")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 }
 
 func TestEmptyBatch(t *testing.T) {
-	out, err := NewAdapter(balancer.New).Batch([]byte(`{"time":5,"msgs":[]}`))
+	out, err := NewAdapter(balancer.New).HandleBatch([]byte(`{"time":5,"msgs":[]}`))
 	if err != nil || string(out) != "{\"outbox\":[]}\n" {
 		t.Fatalf("%s %v", out, err)
 	}
@@ -70,7 +70,7 @@
 func TestSheetReplacedWithinBatch(t *testing.T) {
 	a := NewAdapter(balancer.New)
 	again := strings.Replace(sheet, `"server":"S"`, `"server":"T"`, 1)
-	out, err := a.Batch(line(initMsg, sheet, members, again,
+	out, err := a.HandleBatch(line(initMsg, sheet, members, again,
 		strings.Replace(members, "restored", "replace", 1), inbound("q")))
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 func TestExitAndRestartWithinBatch(t *testing.T) {
 	a := NewAdapter(balancer.New)
 	exit := `{"event_type":"Exit","balancer":"B"}`
-	out, err := a.Batch(line(initMsg, sheet, members, inbound("q"), exit, initMsg, members, inbound("p"),
+	out, err := a.HandleBatch(line(initMsg, sheet, members, inbound("q"), exit, initMsg, members, inbound("p"),
 		`{"event_type":"Response","balancer":"B","request_id":"q","seq_no":0,"server":"S","ending":"INTERNAL"}`))
 	if err != nil {
 		t.Fatal(err)
@@ -95,10 +95,10 @@
 
 func TestUnknownNamesAreIgnored(t *testing.T) {
 	a := NewAdapter(balancer.New)
-	if _, err := a.Batch(line(initMsg, sheet, members)); err != nil {
+	if _, err := a.HandleBatch(line(initMsg, sheet, members)); err != nil {
 		t.Fatal(err)
 	}
-	out, err := a.Batch(line(
+	out, err := a.HandleBatch(line(
 		`{"event_type":"ClientLeft","balancer":"B","request_id":"nobody"}`,
 		`{"event_type":"Response","balancer":"B","request_id":"nobody","server":"nowhere","ending":"OK"}`,
 		`{"event_type":"Streaming","balancer":"B","request_id":"nobody","server":"S"}`,
@@ -127,7 +127,7 @@
 		"ending":              line(initMsg, `{"event_type":"Response","balancer":"B","request_id":"q","server":"S","ending":"HM"}`),
 		"no class of request": line(`{"event_type":"Init","balancer":"B","config":{"peers_total":1}}`),
 	} {
-		out, err := NewAdapter(balancer.New).Batch(msgs)
+		out, err := NewAdapter(balancer.New).HandleBatch(msgs)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || out != nil {
 			t.Errorf("expected an error with %q and no reply, got %v, %s", want, err, out)
 		}
@@ -136,7 +136,7 @@
 
 func TestPanicIsReported(t *testing.T) {
 	a := NewAdapter(func(balancer.Config, int64, balancer.Effects) (*balancer.Balancer, error) { return nil, nil })
-	out, err := a.Batch(line(initMsg, sheet, members))
+	out, err := a.HandleBatch(line(initMsg, sheet, members))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 					}
 				}
 			}
-			out, err := a.Batch(line(msgs...))
+			out, err := a.HandleBatch(line(msgs...))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/testbed/simulator/decisions_test.go
+++ b/internal/testbed/simulator/decisions_test.go
@@ -152,7 +152,7 @@
 
 // deliver gives a batch of events to the adapter and follows its actions.
 func (s *sequence) deliver(events ...map[string]any) {
-	reply, err := s.adapter.Batch(s.marshal(map[string]any{"time": s.now, "msgs": events}))
+	reply, err := s.adapter.HandleBatch(s.marshal(map[string]any{"time": s.now, "msgs": events}))
 	s.events += len(events)
 	if err != nil {
 		s.fail("%v", err)
