--- a/internal/testbed/experiment/addr.go
+++ b/internal/testbed/experiment/addr.go
@@ -10,22 +10,25 @@
 // addrCount counts the addresses that FreeAddr has returned.
 var addrCount atomic.Uint32
 
-// Each process takes its addresses from a loopback network of its own.
+// Each process has its own loopback network, chosen by its process ID, so that concurrent experiments
+// do not use the same addresses.
 const (
-	processNetworks = 250   // second numbers of loopback addresses, by process id
-	processPorts    = 20000 // ports, by process id, for processes of the same network
+	processNetworks = 250   // number of loopback networks, which differ in the second byte
+	processPorts    = 20000 // number of ports, which distinguish processes on one network
 	firstPort       = 10000
 	maxAddrAttempts = 1000
 )
 
-// ProcessPort is a port that other processes of the same loopback network do not use.
+// ProcessPort returns the port of this process, which other processes on its loopback network do not
+// use.
 func ProcessPort() int { return firstPort + os.Getpid()/processNetworks%processPorts }
 
-// ProcessNetwork is the second number of this process's own loopback addresses.
+// ProcessNetwork returns the second byte of this process's loopback addresses.
 func ProcessNetwork() int { return 1 + os.Getpid()%processNetworks }
 
-// FreeAddr is an address that no process listens on and no other call returns. A free port of 127.0.0.1 would not do: a connection may
-// take it before the process listens on it.
+// FreeAddr returns a loopback address on which no process listens and which no other call returns. It
+// does not use a free port of 127.0.0.1, since a connection could take that port before the process
+// listens on it.
 func FreeAddr() (string, error) {
 	for range maxAddrAttempts {
 		number := int(addrCount.Add(1))
@@ -37,5 +40,5 @@
 		l.Close()
 		return addr, nil
 	}
-	return "", fmt.Errorf("no address of %d is free", maxAddrAttempts)
+	return "", fmt.Errorf("none of the %d loopback addresses tried is free", maxAddrAttempts)
 }
--- a/internal/testbed/experiment/command.go
+++ b/internal/testbed/experiment/command.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// experiment is an experiment that can be run by its name.
+// experiment is an experiment that the run command starts by its name.
 type experiment struct {
 	name, short string
 	run         func(e *Env, r *Report) error
@@ -39,23 +39,24 @@
 	{"tls-bad", "every faulty server, its outcome and reason; 20 s", tlsBad},
 }
 
-// program is the command line's state.
+// program holds the global flags and the result of the experiments.
 type program struct {
 	self      string // path of croftlock-experiment
-	proxy     string // path of the program that experiments run
-	earlier   string // path of an earlier build of it; "": none
-	reportDir string // folder for reports; "": none are saved
-	boundsOK  bool   // no bound was missed so far
+	proxy     string // path of the croftlock program that experiments run
+	earlier   string // path of an earlier croftlock build; empty if there is none
+	reportDir string // directory for reports; if empty, none are saved
+	boundsOK  bool   // whether all bounds so far were met
 }
 
-// Main is croftlock-experiment's command line, with the commands of this package and more; it returns the exit status.
+// Main runs croftlock-experiment's command line, which has the commands of this package and the given
+// ones. It returns the exit status: 1 after an error or a missed bound, otherwise 0.
 func Main(args []string, commands ...*cobra.Command) int {
 	self, _ := os.Executable()
 	p := &program{self: self, boundsOK: true}
 	root := &cobra.Command{Use: "croftlock-experiment", Short: "Experiments with croftlock on loopback", SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().StringVar(&p.proxy, "croftlock", filepath.Join(filepath.Dir(self), "croftlock"), "the program to run")
 	root.PersistentFlags().StringVar(&p.earlier, "earlier", "", "an earlier build: in ops-upgrade it and the program replace each other in turn")
-	root.PersistentFlags().StringVar(&p.reportDir, "out", "", "folder to keep the report in, as JSON")
+	root.PersistentFlags().StringVar(&p.reportDir, "out", "", "directory in which to save the report as JSON")
 	root.AddCommand(fleetCommand(), membersCommand(), simCommand(), listCommand(), p.runCommand(), p.demoCommand(), relayCommand())
 	root.AddCommand(commands...)
 	root.SetArgs(args)
@@ -79,7 +80,7 @@
 }
 
 func (p *program) runCommand() *cobra.Command {
-	return &cobra.Command{Use: "run NAME...", Short: "Run experiments; exit 1 where a bound is missed",
+	return &cobra.Command{Use: "run NAME...", Short: "Run experiments; exit with status 1 if a bound is missed",
 		Example: "  croftlock-experiment run tls-bad tls-storm --out reports", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			for _, name := range args {
@@ -101,7 +102,7 @@
 		RunE: func(*cobra.Command, []string) error { return p.run(experiment{name: "demo", run: demo}) }}
 }
 
-// relayCommand is run by the experiments, as a process.
+// relayCommand returns the hidden command that experiments run as a separate relay process.
 func relayCommand() *cobra.Command {
 	var o relayOptions
 	c := &cobra.Command{Use: "relay", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return o.run() }}
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// run runs an experiment, prints its report and saves it if a folder is given.
+// run runs an experiment, prints its report and saves it if p.reportDir is set.
 func (p *program) run(x experiment) error {
 	r, err := x.runInOwnFolder(&Env{Croftlock: p.proxy, EarlierBuild: p.earlier, Self: p.self})
 	if err != nil {
@@ -134,10 +135,10 @@
 	return nil
 }
 
-// runInOwnFolder runs the experiment with a folder of its own in e.Dir.
+// runInOwnFolder runs the experiment with a temporary directory as e.Dir, which it removes afterwards.
 func (x experiment) runInOwnFolder(e *Env) (*Report, error) {
 	if _, err := os.Stat(e.Croftlock); err != nil {
-		return nil, fmt.Errorf("the program to run: %v; --croftlock names it", err)
+		return nil, fmt.Errorf("the program to run (set by --croftlock): %v", err)
 	}
 	dir, err := os.MkdirTemp("", "croftlock-experiment")
 	if err != nil {
@@ -156,7 +157,8 @@
 	return r, err
 }
 
-// cleanUpOnInterrupt removes files and processes on SIGINT and SIGTERM, until end is called.
+// cleanUpOnInterrupt kills the experiment's processes, removes dir and exits with status 130 on SIGINT
+// or SIGTERM, until end is called.
 func cleanUpOnInterrupt(dir string) (end func()) {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// processConfig is the configuration file of one proxy, in the platform's names.
+// processConfig is the configuration file of one proxy. Its JSON keys are the platform's.
 type processConfig struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
@@ -20,7 +20,7 @@
 	Settings   processSettings `json:"settings"`
 }
 
-// processLimits are the resources that the platform grants the process.
+// processLimits specifies the resources that the platform grants the process.
 type processLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -37,7 +37,7 @@
 	Classes    []processClass  `json:"lanes"`
 }
 
-// processBounds holds times in nanoseconds.
+// processBounds limits attempts and waits. Its durations are in nanoseconds.
 type processBounds struct {
 	MayAnnounce    bool  `json:"may_tell"`
 	MaxAttempts    int   `json:"try_limit"`
@@ -46,12 +46,12 @@
 	MaxRetryAfter  int64 `json:"max_retry_after"`
 }
 
-// processContract is what the platform requires of the process.
+// processContract specifies what the platform requires of the process.
 type processContract struct {
 	MustQueryIn int64 `json:"must_ask_in"` // nanoseconds
 }
 
-// processClass is a class of requests.
+// processClass is a class of requests in the platform's settings.
 type processClass struct {
 	Name             string `json:"name"`
 	LatencyObjective int64  `json:"on_time"`  // nanoseconds
@@ -61,28 +61,29 @@
 	Window           int64  `json:"key_ttl,omitempty"` // nanoseconds
 }
 
-// Class is a class of requests of an experiment with more than one.
+// Class is a class of requests, for an experiment that uses more than one.
 type Class struct {
 	Name        string
 	Deadline    time.Duration
 	Idempotency Idempotency
-	Window      time.Duration // the dedup window of IdempotentByKey
+	Window      time.Duration // dedup window; used only with IdempotentByKey
 }
 
-// Idempotency specifies whether a request may be repeated, as the settings name it.
+// Idempotency specifies whether a class's requests may be repeated. Its values are those of the settings.
 type Idempotency string
 
-// The idempotencies of a class.
+// The values of Idempotency.
 const (
 	Idempotent      Idempotency = "read_like"
 	IdempotentByKey Idempotency = "idempotency_key" // idempotent within the dedup window, by its idempotency key
 	NonIdempotent   Idempotency = "non_idempotent"
 )
 
-// maxLatencyObjective is the latency objective of classes with longer deadlines.
+// maxLatencyObjective is the latency objective of classes whose deadline is longer.
 const maxLatencyObjective = 800 * time.Millisecond
 
-// classes are the settings' entries.
+// classes returns the settings of the classes. If s.Classes is empty, it sets it to one class of
+// idempotent requests.
 func (s *Setup) classes() (out []processClass) {
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{Name: requestClass, Deadline: s.Deadline, Idempotency: Idempotent}}
@@ -97,13 +98,13 @@
 	return out
 }
 
-// The platform's names for the ways in which lists reach a proxy.
+// The platform's values for how a proxy receives endpoint lists.
 const (
 	discoveryPolled = "subscribe"
 	discoveryPushed = "automatic"
 )
 
-// setDefaults sets what an experiment leaves unset.
+// setDefaults sets the fields that an experiment left at zero.
 func (s *Setup) setDefaults() {
 	setIfZero(&s.Cores, 1)
 	setIfZero(&s.MaxDescriptors, 4096)
@@ -120,7 +121,7 @@
 	}
 }
 
-// config is the process's configuration file.
+// config returns the process's configuration file.
 func (s *Setup) config() processConfig {
 	discoveryMode := discoveryPolled
 	if s.ListsPushed {
--- a/internal/testbed/experiment/demo.go
+++ b/internal/testbed/experiment/demo.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// demo shows the program at work: one proxy, three hosts of which one drains, and clients.
+// demo runs one proxy with clients and three hosts, of which one drains.
 func demo(e *Env, r *Report) error {
 	upstreams, err := newUpstreams(e, 3, false)
 	if err != nil {
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-// fleetCommand analyses a folder of logs.
+// fleetCommand returns the command that analyses a directory of logs.
 func fleetCommand() *cobra.Command {
 	var window, warmUp, peakWindow, objective time.Duration
 	c := &cobra.Command{Use: "fleet LOGDIR", Short: "Count over the logs of many proxies, on one time axis",
@@ -22,7 +22,7 @@
 		Example: "  croftlock-experiment fleet logs --window 2s", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if window <= 0 || peakWindow <= 0 {
-				return fmt.Errorf("--window and --fall have to be above zero")
+				return fmt.Errorf("--window and --fall must be above zero")
 			}
 			logs, err := fleetlog.ReadDir(args[0])
 			if err != nil {
@@ -36,11 +36,12 @@
 	c.Flags().DurationVar(&window, "window", 2*time.Second, "length of a time window")
 	c.Flags().DurationVar(&warmUp, "warm", 23*time.Second, "how long a host is warming up after its start")
 	c.Flags().DurationVar(&peakWindow, "fall", 2*time.Second, "window for the peak of attempts at a warming host")
-	c.Flags().DurationVar(&objective, "aim", 250*time.Millisecond, "how long messages may take")
+	c.Flags().DurationVar(&objective, "aim", 250*time.Millisecond, "latency objective of messages")
 	return c
 }
 
-// printLoss prints the causes for which clients were not connected, or to slow hosts.
+// printLoss prints for how long clients were not connected, or connected to overloaded or slow hosts,
+// by cause.
 func printLoss(w io.Writer, loss *fleetlog.Loss) error {
 	total := max(loss.All(), 1e-9)
 	fmt.Fprintf(w, "\nclient seconds %.0f: good %.1f%%, on overloaded hosts %.1f%%, on slow hosts %.1f%%, "+
@@ -55,7 +56,7 @@
 	return table.Flush()
 }
 
-// printFleet prints what all proxies did, by time window and by host.
+// printFleet prints the counts of all proxies, by time window and by host.
 func printFleet(out io.Writer, log *fleetlog.Log, fleet *fleetlog.Fleet) error {
 	fmt.Fprintf(out, "%d proxies, %d events, %d lines skipped, from %s\n\n", log.Proxies, len(log.Events), log.Skipped,
 		fleet.Began.Format(time.RFC3339))
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -7,20 +7,21 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// latenessTolerance is by how much an answer may exceed the client's wait before it counts as late.
+// latenessTolerance is the time after the client's deadline from which an answer counts as late.
 const latenessTolerance = 50 * time.Millisecond
 
 // answerCounts counts the answers to requests.
 type answerCounts struct {
 	mu           sync.Mutex
 	byKind       map[string]int
-	milliseconds samples // to the answer
-	late         int     // answers after the client's deadline
+	milliseconds samples // time to each answer
+	late         int     // answers more than latenessTolerance after the deadline
 }
 
 func newAnswerCounts() *answerCounts { return &answerCounts{byKind: map[string]int{}} }
 
-// add counts the answer to a request with a deadline.
+// add counts the answer to a request whose client waits for at most wait. The time of kind NONE, no
+// answer, is not recorded.
 func (c *answerCounts) add(a fake.Answer, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,14 +41,14 @@
 	c.byKind, c.milliseconds, c.late = map[string]int{}, nil, 0
 }
 
-// count is the number of answers of one kind.
+// count returns the number of answers of one kind.
 func (c *answerCounts) count(kind string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.byKind[kind]
 }
 
-// total is the number of answers of all kinds.
+// total returns the number of answers of all kinds.
 func (c *answerCounts) total() (total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +58,8 @@
 	return total
 }
 
-// openLoop calls do at a fixed rate, without waiting for the earlier calls, and returns once all have ended.
+// openLoop calls do at a fixed rate, in calls a second, without waiting for earlier calls. It returns
+// after the duration, once all calls have ended.
 func openLoop(rate float64, duration time.Duration, do func(i int)) {
 	var calls sync.WaitGroup
 	startedAt := time.Now()
--- a/internal/testbed/experiment/member.go
+++ b/internal/testbed/experiment/member.go
@@ -10,10 +10,11 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// killRounds is how often each number of deaths is played.
+// killRounds is the number of rounds for each number of killed processes.
 const killRounds = 20
 
-// memberKill kills one, and a third, of 5 and of 15 processes.
+// memberKill kills one and then a third of 5 and of 15 processes, and measures how long the survivors
+// take to detect it.
 func memberKill(e *Env, r *Report) error {
 	const table = "from SIGKILL until all survivors have the killed as unreachable or gone"
 	r.StartTable(table, "processes", "killed", "turns", "median", "p99", "alive as new incarnations, median")
@@ -37,13 +38,14 @@
 	return nil
 }
 
-// killRepeatedly kills a number of processes again and again, others each time, and returns, sorted, how long the survivors took to know,
-// and all to see one another alive again.
+// killRepeatedly kills and restarts a number of processes in each round, a different selection each
+// time. It returns, sorted, the times until the survivors detected the deaths and the times until all
+// processes saw one another alive again.
 func (r *Rig) killRepeatedly(killed int) (detected, recovered []time.Duration, err error) {
 	n := len(r.Procs)
 	for round := range killRounds {
 		if _, ok := r.AwaitAllAlive(30 * time.Second); !ok {
-			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive after 30 s", n, round)
+			return nil, nil, fmt.Errorf("%d processes, round %d: not all alive after 30 s", n, round)
 		}
 		var dead, alive []int
 		for i := range n {
@@ -55,7 +57,7 @@
 		}
 		took, err := r.killAndAwait(dead, alive)
 		if err != nil {
-			return nil, nil, fmt.Errorf("%d processes, turn %d: %w", n, round, err)
+			return nil, nil, fmt.Errorf("%d processes, round %d: %w", n, round, err)
 		}
 		detected = append(detected, took)
 		for _, i := range dead {
@@ -66,7 +68,7 @@
 		}
 		took, ok := r.AwaitAllAlive(30 * time.Second)
 		if !ok {
-			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive 30 s after the restart", n, round)
+			return nil, nil, fmt.Errorf("%d processes, round %d: not all alive 30 s after the restart", n, round)
 		}
 		recovered = append(recovered, took)
 	}
@@ -75,7 +77,7 @@
 	return detected, recovered, nil
 }
 
-// killAndAwait kills processes, and returns how long it takes until all others know.
+// killAndAwait kills the dead processes and returns the time until all alive ones have detected it.
 func (r *Rig) killAndAwait(dead, alive []int) (took time.Duration, err error) {
 	for _, i := range dead {
 		r.Procs[i].cmd.Process.Kill()
@@ -83,17 +85,18 @@
 	for _, i := range dead {
 		t, ok := r.AwaitMemberState(20*time.Second, alive, i, "unreachable", "gone")
 		if !ok {
-			return 0, fmt.Errorf("the death of n%d is not known after 20 s", i)
+			return 0, fmt.Errorf("the death of n%d is not detected after 20 s", i)
 		}
-		took += t // the waits follow one another
+		took += t // the waits are sequential
 	}
 	return took, nil
 }
 
-// sealKey seals the datagrams of rigs.
+// sealKey is the key that seals the datagrams between a rig's processes.
 const sealKey = "0123456789abcdef0123456789abcdef"
 
-// memberPause pauses one of five processes for times under 2 s, and for 10 s.
+// memberPause pauses one of five processes for less than 2 s, which must not remove it, and for 10 s,
+// which all others must detect.
 func memberPause(e *Env, r *Report) error {
 	rig, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
@@ -113,7 +116,7 @@
 		rig.Procs[paused].Signal(syscall.SIGCONT)
 		back, ok := rig.AwaitMemberState(20*time.Second, others, paused, "alive")
 		if !ok {
-			return fmt.Errorf("not alive at all 20 s after a pause of %v", pause)
+			return fmt.Errorf("the process is not alive at all others 20 s after a pause of %v", pause)
 		}
 		time.Sleep(2 * time.Second)
 		unreachable, accused := rig.logLines("to=unreachable", others...)-unreachableBefore, rig.accusations(paused)-accusedBefore
@@ -129,7 +132,7 @@
 	return nil
 }
 
-// logLines counts the lines with a text in some processes' logs.
+// logLines returns the number of lines that contain text in the logs of the given processes.
 func (r *Rig) logLines(text string, processes ...int) (n int) {
 	for _, i := range processes {
 		n += len(r.Procs[i].LogLines(text))
@@ -137,12 +140,13 @@
 	return n
 }
 
-// accusations is how often a process suspected others or had them as unreachable.
+// accusations returns how often process i reported another member as suspect or unreachable.
 func (r *Rig) accusations(i int) int {
 	return r.logLines("to=suspect", i) + r.logLines("to=unreachable", i)
 }
 
-// memberLoss plays a loss of a fifth of all datagrams for five minutes, then the death of one process.
+// memberLoss drops a fifth of all datagrams for five minutes, then kills one process under the same
+// loss.
 func memberLoss(e *Env, r *Report) error {
 	const duration = 5 * time.Minute
 	rig, err := NewRig(e, 5, 1, sealKey)
--- a/internal/testbed/experiment/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -11,13 +11,13 @@
 	"croftlock/internal/testbed/parallel"
 )
 
-// detector is a way to detect failures, as the simulation measures it.
+// detector is a failure detector that the simulation can measure.
 type detector struct {
 	name    string
 	measure func(n int, loss float64, duration simulation.Time, seed uint64) simulation.Cost
 }
 
-// detectors are the program's own failure detector, first, and the alternatives.
+// detectors lists the program's failure detector, which comes first, and the alternatives.
 var detectors = []detector{
 	{"suspicion, heard by anybody", simulation.Measure},
 	{"heartbeats to all, phi 8", simulation.Heartbeats},
@@ -27,22 +27,22 @@
 const (
 	costDuration = 60 * simulation.Sec
 	costSeeds    = 5
-	// Large fleets are simulated once, for a shorter time: each step costs more there.
+	// Fleets from this size on are simulated once and for a shorter time, since each step takes longer.
 	largeFleet         = 300
 	largeFleetDuration = 20 * simulation.Sec
-	// undetected stands for a death that not all members learnt of.
+	// undetected is the detection time of a death that too few members learnt of.
 	undetected = simulation.Time(1 << 62)
 )
 
-// detectorRun is one detector in one fleet at one loss.
+// detectorRun measures one detector at one fleet size and one loss rate.
 type detectorRun struct {
-	detector int // in detectors
+	detector int // index in detectors
 	members  int
-	loss     float64 // part of all datagrams
+	loss     float64 // fraction of all datagrams that are lost
 	costs    []simulation.Cost
 }
 
-// simulate measures the run, a cost for each seed.
+// simulate runs the simulation once for each seed and records the costs.
 func (d *detectorRun) simulate() {
 	seeds, duration := costSeeds, costDuration
 	if d.members >= largeFleet {
@@ -53,7 +53,7 @@
 	}
 }
 
-// falseAlarms is the mean of the seeds.
+// falseAlarms returns the mean number of false alarms over all seeds.
 func (d *detectorRun) falseAlarms() (alarms float64) {
 	for _, c := range d.costs {
 		alarms += c.FalseAlarms / float64(len(d.costs))
@@ -61,7 +61,7 @@
 	return alarms
 }
 
-// detectionTimes is the median and the longest time until a death was known.
+// detectionTimes returns the median and the longest time until a death was detected.
 func (d *detectorRun) detectionTimes() (median, longest simulation.Time) {
 	var times []simulation.Time
 	for _, c := range d.costs {
@@ -74,7 +74,7 @@
 	return times[len(times)/2], times[len(times)-1]
 }
 
-// detectionTimeText is a time until a death was known, in milliseconds.
+// detectionTimeText formats a detection time in milliseconds.
 func detectionTimeText(t simulation.Time) string {
 	if t == undetected {
 		return "over 15000"
@@ -82,14 +82,15 @@
 	return fmt.Sprint(t / simulation.Ms)
 }
 
-// memberCost simulates the failure detectors in virtual time.
+// memberCost simulates the failure detectors in virtual time, and measures the CPU time of an idle
+// process.
 func memberCost(e *Env, r *Report) error {
 	const table = "per second and process; time until 99 in 100 know of a death; false alarms an hour in the fleet"
 	r.StartTable(table, "detector", "members", "loss", "messages", "bytes", "known ms (median, max of 5)", "false alarms")
 	runs := detectorRuns()
 	simulateAll(e, runs)
 	slices.SortStableFunc(runs, func(a, b *detectorRun) int { return cmp.Or(a.detector-b.detector, a.members-b.members) })
-	messages := map[int]float64{} // of the program's own detector without loss, by members
+	messages := map[int]float64{} // of the program's detector without loss, by number of members
 	for _, d := range runs {
 		median, longest := d.detectionTimes()
 		r.AddRow(table, detectors[d.detector].name, d.members, d.loss, fmt.Sprintf("%.1f", d.costs[0].Messages), fmt.Sprintf("%.0f", d.costs[0].Bytes),
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// detectorRuns are all runs, the longest first.
+// detectorRuns returns all runs, the longest first.
 func detectorRuns() (runs []*detectorRun) {
 	for _, members := range []int{1000, 300, 100, 10, 3} {
 		for i := range detectors {
@@ -119,7 +120,7 @@
 	return runs
 }
 
-// simulateAll plays the runs, on all cores.
+// simulateAll simulates the runs in parallel on all cores.
 func simulateAll(e *Env, runs []*detectorRun) {
 	parallel.ForEach(0, len(runs), func(i int) {
 		d := runs[i]
@@ -128,7 +129,7 @@
 	})
 }
 
-// idleMemberCPU is the part of a core that an idle process of five takes, membership included.
+// idleMemberCPU returns the fraction of a core that one of five idle processes uses, with membership on.
 func idleMemberCPU(e *Env) (float64, error) {
 	const span = 10 * time.Second
 	rig, err := NewRig(e, 5, 1, sealKey)
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -15,9 +15,9 @@
 // linkCut is a set of cut links among five processes.
 type linkCut struct {
 	name             string
-	cut              func(from, to int) bool // the links that it cuts
-	mayBeUnreachable []int                   // processes that the others may have as unreachable
-	reportedBy       int                     // the process that has to report the cut link; -1: none
+	cut              func(from, to int) bool // reports whether the link is cut
+	mayBeUnreachable []int                   // processes that the majority may report as unreachable
+	reportedBy       int                     // process that must report the cut link; -1 if none
 }
 
 var linkCuts = []linkCut{
@@ -27,10 +27,11 @@
 	{"0, 1 from 2, 3, 4", func(from, to int) bool { return (from < 2) != (to < 2) }, []int{0, 1}, -1},
 }
 
-// cutDuration is how long each cut lasts.
+// cutDuration is the duration of each cut.
 const cutDuration = 8 * time.Second
 
-// memberCut cuts one link in one direction, all links to and from a process, and two processes off from three.
+// memberCut cuts one link in one direction, then all links to a process, all links from it, and all
+// links between two processes and the other three.
 func memberCut(e *Env, r *Report) error {
 	rig, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
@@ -41,7 +42,7 @@
 	r.StartTable(table, "cut", "wrongly unreachable", "cut link reported after", "all alive after healing")
 	for _, c := range linkCuts {
 		if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
-			return fmt.Errorf("%s: not all alive before", c.name)
+			return fmt.Errorf("%s: not all processes are alive 30 s after the previous cut", c.name)
 		}
 		rig.applyToLinks(c.cut, func(l *fake.Link) { l.Cut = true })
 		seen, err := c.observe(rig)
@@ -63,13 +64,13 @@
 	return nil
 }
 
-// cutObservation is a process's view of the members during a cut.
+// cutObservation summarizes a process's view of the members during a cut.
 type cutObservation struct {
-	reportedAfter      time.Duration // from the cut to the report of the cut link; -1: it was not reported
-	falselyUnreachable int           // members that were unreachable or gone and must not be, in all polls
+	reportedAfter      time.Duration // from the cut to the report of the cut link; -1 if not reported
+	falselyUnreachable int           // members wrongly unreachable or gone, added up over all polls
 }
 
-// observe polls one process of the majority while the cut lasts.
+// observe polls the view of one process of the majority for the duration of the cut.
 func (c *linkCut) observe(rig *Rig) (seen cutObservation, err error) {
 	seen.reportedAfter = -1
 	for startedAt := time.Now(); time.Since(startedAt) < cutDuration; time.Sleep(50 * time.Millisecond) {
@@ -89,7 +90,7 @@
 	return seen, nil
 }
 
-// membersCommand prints a running proxy's view of the members.
+// membersCommand returns the command that prints a running proxy's view of the members.
 func membersCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{Use: "members SOCKET", Short: "Ask a running proxy which others are there", Args: cobra.ExactArgs(1),
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	opsTimeout        = 2 * time.Second // of clients
-	opsPersistent     = 40              // persistent clients
+	opsTimeout        = 2 * time.Second // of a client's wait for an answer
+	opsPersistent     = 40              // number of persistent clients
 	opsConnectionRate = 60.0            // short-lived connections a second
 	upgrades          = 20
-	upgradeTimeout    = 6 * time.Second        // until a new process is ready
-	drainNoticeLimit  = 250 * time.Millisecond // from a suspension until the host gets nothing new
+	upgradeTimeout    = 6 * time.Second        // for a new process to become ready
+	drainNoticeLimit  = 250 * time.Millisecond // after a suspension, the host receives no new requests
 )
 
-// opsUpgrade plays 20 hot restarts under load, and the death of a process at each step of one.
+// opsUpgrade performs 20 hot restarts under load, then kills a process at each step of one.
 func opsUpgrade(e *Env, r *Report) error {
 	s, err := newProxySite(e, opsConnectionRate)
 	if err != nil {
@@ -43,10 +43,10 @@
 	return nil
 }
 
-// upgradeUnderLoad replaces the process again and again, and reports what clients noticed. It returns how many short-lived ones got no
-// answer, and the milliseconds until each new process was ready.
+// upgradeUnderLoad performs the hot restarts and reports their effects on clients. It returns the number
+// of short-lived clients without an answer, and the milliseconds until each new process was ready.
 func (s *proxySite) upgradeUnderLoad(r *Report) (unanswered int, readyTimes samples, err error) {
-	var exitTimes samples // milliseconds
+	var exitTimes samples // milliseconds from SIGTERM to the old process's end
 	for range upgrades {
 		readyIn, exitedIn, err := s.hotRestart()
 		if err != nil {
@@ -74,7 +74,8 @@
 	r.Check(len(lost) == 0, "persistent connections lost", strings.Join(lost, "; ")+fmt.Sprint(len(lost)))
 }
 
-// resumedByCurrent is the number of connections that the current process has taken over, by its log.
+// resumedByCurrent returns the number of connections that the current process has taken over, according
+// to its log.
 func (s *proxySite) resumedByCurrent() (total int) {
 	for _, l := range s.current.LogLines("resumed=") {
 		_, rest, _ := strings.Cut(l, "resumed=")
@@ -86,7 +87,7 @@
 
 const deathTable = "a process dies"
 
-// deathStep is the step of a hot restart at which a process dies, as reports name it.
+// deathStep specifies which process dies at which step of a hot restart. Reports print it.
 type deathStep string
 
 const (
@@ -97,8 +98,8 @@
 
 var deathSteps = []deathStep{newBeforeReady, oldBeforeReady, newAfterReady}
 
-// checkDeath kills a process at a step, and reports what clients noticed. A client that the killed process has accepted loses its
-// connection; one in the listening socket's queue does not.
+// checkDeath kills a process at a step and reports the effects on clients. Clients that the killed
+// process has accepted lose their connections; those still in the listening socket's queue do not.
 func (s *proxySite) checkDeath(r *Report, step deathStep) error {
 	before := s.unanswered()
 	serving, err := s.killAtStep(step)
@@ -116,7 +117,8 @@
 	return nil
 }
 
-// killAtStep kills a process at one step of a hot restart, and returns which process serves afterwards: the old or the new one.
+// killAtStep kills a process at one step of a hot restart. It returns which process serves afterwards,
+// "old" or "new".
 func (s *proxySite) killAtStep(step deathStep) (serving string, err error) {
 	p, admin, err := s.startProcess()
 	if err != nil {
@@ -135,7 +137,7 @@
 		}
 		p.Kill()
 		if !s.current.AwaitLog("taken_back", 5*time.Second) {
-			return "", errors.New("the old process did not take back")
+			return "", errors.New("the old process did not log taken_back within 5 s of the new one's death")
 		}
 	}
 	err = AwaitReady(s.admin, upgradeTimeout)
@@ -145,7 +147,8 @@
 
 const suspendTable = "a suspended host"
 
-// opsSuspend suspends a host and resumes it, three times, with list changes and a hot restart in between.
+// opsSuspend suspends and resumes a host three times, with list changes and a hot restart during each
+// suspension.
 func opsSuspend(e *Env, r *Report) error {
 	s, err := newProxySite(e, opsConnectionRate)
 	if err != nil {
@@ -176,25 +179,26 @@
 	return nil
 }
 
-// suspensionOutcome is what a host received around one suspensionOutcome.
+// suspensionOutcome records the requests and connections of a host around one suspension.
 type suspensionOutcome struct {
-	sentInNotice int     // requests within the notice limit
-	sentAfter    int     // requests after it
-	established  int     // connections that were left 1.25 s after the suspension
-	firstMS      float64 // milliseconds from the resumption to the first request; 0: none within 5 s
+	sentInNotice int     // requests within drainNoticeLimit of the suspension
+	sentAfter    int     // requests after drainNoticeLimit
+	established  int     // connections still open 1.25 s after the suspension
+	firstMS      float64 // milliseconds from the resumption to the first request; 0 if none within 5 s
 }
 
-// suspendAndResume suspends the first host, plays list changes and a hot restart that must not end the suspension, and resumes it.
+// suspendAndResume suspends the first host, applies list changes and a hot restart, which must not end
+// the suspension, and resumes the host.
 func (s *proxySite) suspendAndResume() (outcome suspensionOutcome, err error) {
 	host, path := s.upstreams.servers[0], "/v1/catalogue-servers/"+s.upstreams.servers[0].UID
 	requests := func() int { n, _ := host.Requests(); return n }
 	before := requests()
 	if status, body, _, err := CallAdmin(s.admin, "POST", path+"/suspend"); err != nil || status != 200 {
-		return outcome, fmt.Errorf("suspend: %d %s %v", status, body, err)
+		return outcome, fmt.Errorf("suspend %s: status %d, body %q, error %v", host.UID, status, body, err)
 	}
 	time.Sleep(drainNoticeLimit)
 	atLimit := requests()
-	s.upstreams.discovery.Set(host.Entry()) // a new revision in which it is up
+	s.upstreams.discovery.Set(host.Entry()) // publishes a new revision in which the host is up
 	time.Sleep(time.Second)
 	outcome.established = host.Established()
 	if _, _, err := s.hotRestart(); err != nil {
@@ -207,7 +211,7 @@
 	outcome.sentInNotice, outcome.sentAfter = atLimit-before, atEnd-atLimit
 	startedAt := time.Now()
 	if status, _, _, err := CallAdmin(s.admin, "POST", path+"/resume"); err != nil || status != 200 {
-		return outcome, fmt.Errorf("resume: %d %v", status, err)
+		return outcome, fmt.Errorf("resume %s: status %d, error %v", host.UID, status, err)
 	}
 	for time.Since(startedAt) < 5*time.Second && outcome.firstMS == 0 {
 		if requests() > atEnd {
--- a/internal/testbed/experiment/opsmetrics.go
+++ b/internal/testbed/experiment/opsmetrics.go
@@ -11,8 +11,9 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// opsMetrics compares the metrics with the counts of clients and hosts, and measures operators' calls under load beside callers that
-// never finish their request, and the CPU of a placement and of a line. CROFTLOCK_BEFORE names a program to compare the CPU with.
+// opsMetrics compares the metrics with the counts of clients and hosts. It also measures operators' calls
+// under load while other callers never finish their requests, and the CPU time of a placement and of a
+// line. If CROFTLOCK_BEFORE is set, it is the path of a program whose CPU time is measured as well.
 func opsMetrics(e *Env, r *Report) error {
 	s, err := newProxySite(e, 200)
 	if err != nil {
@@ -38,8 +39,9 @@
 	return s.reportCosts(r)
 }
 
-// callUnderLoad reads the metrics 200 times while callers that never finish their request add up, and hosts fail and reject in turn. It
-// returns the milliseconds of each call, and how many calls failed.
+// callUnderLoad reads the metrics 200 times. Each time one more caller that never finishes its request
+// connects, and two of the hosts fail or reject requests part of the time. It returns the milliseconds
+// of each call and the number of failed calls.
 func (s *proxySite) callUnderLoad() (took samples, failed int) {
 	var unfinished []net.Conn
 	for i := range 200 {
@@ -62,7 +64,7 @@
 	return took, failed
 }
 
-// parseMetrics parses lines of name=number; others are ignored.
+// parseMetrics parses lines of the form name=number and ignores lines without an equals sign.
 func parseMetrics(body string) map[string]int {
 	metrics := map[string]int{}
 	for _, line := range strings.Split(body, "\n") {
@@ -73,7 +75,8 @@
 	return metrics
 }
 
-// compareMetrics compares the metrics with the counts of clients and hosts, and returns the largest deviation.
+// compareMetrics compares the metrics with the counts of clients and hosts, and returns the largest
+// difference. A missing metric counts as -1.
 func (s *proxySite) compareMetrics(r *Report, metrics map[string]int) (deviation int) {
 	requests := 0
 	for _, server := range s.upstreams.servers {
@@ -99,7 +102,8 @@
 	return deviation
 }
 
-// reportCosts measures the CPU of a placement, and of a line and its answer, for the program and, in turn, for the one to compare with.
+// reportCosts reports the CPU time of a placement, and of a line and its answer. It alternates between
+// the program and the one named by CROFTLOCK_BEFORE, if any.
 func (s *proxySite) reportCosts(r *Report) error {
 	const title, rounds = "CPU, microseconds", 5
 	programs := []string{s.Croftlock}
@@ -123,7 +127,8 @@
 	return nil
 }
 
-// measureCPU measures a program: the microseconds of CPU of a placement, and of a line and its answer.
+// measureCPU returns the CPU time of a program in microseconds, for a placement, and for a line and its
+// answer.
 func (s *proxySite) measureCPU(program string) (placement, line float64, err error) {
 	const placements, lines = 400, 2000
 	setup := s.setup
@@ -137,14 +142,14 @@
 	for range placements {
 		c, _, err := fake.Open(p.Addr, requestClass, "", opsTimeout)
 		if err != nil || c == nil {
-			return 0, 0, fmt.Errorf("a placement: %v", err)
+			return 0, 0, fmt.Errorf("placement without a connection: %v", err)
 		}
 		c.Close()
 	}
 	placement = float64(p.CPUTime()-before) / 1e3 / placements
 	c, _, err := fake.Open(p.Addr, requestClass, "", opsTimeout)
 	if err != nil || c == nil {
-		return 0, 0, fmt.Errorf("a connection: %v", err)
+		return 0, 0, fmt.Errorf("no connection for the lines: %v", err)
 	}
 	defer c.Close()
 	before = p.CPUTime()
