--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -9,10 +9,11 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// chaosJobs is the number of jobs of the rig: twenty drills, and that of the suspended hosts.
+// chaosJobs is the number of jobs on the rig: 20 drills and the job for suspended hosts.
 const chaosJobs = 21
 
-// ownerChaos plays a fault every 2 s for two minutes, under a constant load of clients.
+// ownerChaos compares placements without faults with those during one fault every 2 s, for two minutes
+// each and at a constant rate of clients.
 func ownerChaos(e *Env, r *Report) error {
 	c := &chaosRun{env: e, report: r, duration: 120 * time.Second, clientRate: 200}
 	r.StartTable(chaosTable, "run", "clients", "served", "failed", "p50 ms", "p99 ms")
@@ -24,16 +25,17 @@
 
 const chaosTable = "placements at a constant rate of clients"
 
-// chaosRun is the experiment: on a rig without faults, then on one with faults.
+// chaosRun runs the experiment on a rig without faults, then on one with faults.
 type chaosRun struct {
 	env         *Env
 	report      *Report
 	duration    time.Duration
 	clientRate  float64 // clients a second
-	baselineP99 float64 // of a placement without faults, milliseconds
+	baselineP99 float64 // milliseconds until a placement without faults
 }
 
-// newRig starts five processes, three of them replicas.
+// newRig starts five processes, of which the first three are replicas, and waits until all jobs have
+// owners.
 func (c *chaosRun) newRig() (*Rig, error) {
 	hosts, err := newUpstreams(c.env, 3, false)
 	if err != nil {
@@ -50,7 +52,7 @@
 	return rig, nil
 }
 
-// runWithoutFaults places clients without faults.
+// runWithoutFaults measures the baseline of placements.
 func (c *chaosRun) runWithoutFaults() error {
 	rig, err := c.newRig()
 	if err != nil {
@@ -63,7 +65,7 @@
 	return nil
 }
 
-// runWithFaults places clients while faults happen and operators call.
+// runWithFaults places clients while faults are injected and operators make calls.
 func (c *chaosRun) runWithFaults() error {
 	rig, err := c.newRig()
 	if err != nil {
@@ -91,8 +93,8 @@
 	return nil
 }
 
-// placeClients opens connections at the rate, each for a second, at the processes that get no faults: what the death of a proxy does to its
-// own clients has nothing to do with owners.
+// placeClients opens connections at c.clientRate, each for a second. It uses only the processes without
+// faults, since a proxy that dies ends its own clients' connections, whoever the owners are.
 func (c *chaosRun) placeClients(rig *Rig) *answerCounts {
 	const wait = 2 * time.Second
 	answers := newAnswerCounts()
@@ -112,12 +114,14 @@
 	return answers
 }
 
+// addRow adds a run's answers to the table.
 func (c *chaosRun) addRow(name string, answers *answerCounts) {
 	total, served := answers.total(), answers.count("UP")
 	c.report.AddRow(chaosTable, name, total, served, total-served, answers.milliseconds.quantile(0.5), answers.milliseconds.quantile(0.99))
 }
 
-// checkGuarantees checks the owners' guarantees against the logs and the history of operators' calls.
+// checkGuarantees checks the guarantees of job ownership against the logs and the history of operators'
+// calls.
 func (c *chaosRun) checkGuarantees(rig *Rig, history *operatorHistory) {
 	r := c.report
 	stale, rejected := rig.staleEffects()
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,7 +12,8 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownerCost measures the cost of owners: the time of handovers, and the CPU and bytes of idle replicas and followers.
+// ownerCost measures the cost of job ownership: the time until a job is acquired after a move or a kill,
+// and the CPU time and bytes sent of idle replicas and followers.
 func ownerCost(e *Env, r *Report) error {
 	r.StartTable(ownerCostTable, "replicas", "store", "requested move to acquisition, median ms", "p99 ms", "owner killed to acquisition, median ms", "max ms",
 		"CPU of a core: leader", "replica", "follower", "bytes a second, leader", "follower")
@@ -42,11 +42,12 @@
 const (
 	ownerCostTable     = "cost of owners"
 	ownerCostProcesses = 6
-	ownerCostDrills    = 6 // jobs, beside that of the suspended hosts
+	ownerCostDrills    = 6 // jobs in addition to the one for suspended hosts
 	idleDuration       = 8 * time.Second
 )
 
-// membershipCPU is the part of a core that an idle process with membership alone takes.
+// membershipCPU returns the fraction of a core that an idle process with membership but without owners
+// uses.
 func membershipCPU(e *Env) (float64, error) {
 	idle, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
@@ -54,13 +55,13 @@
 	}
 	defer idle.Close()
 	if _, ok := idle.AwaitAllAlive(recoveryTimeout); !ok {
-		return 0, errors.New("not all members are alive")
+		return 0, fmt.Errorf("not all members are alive after %v", recoveryTimeout)
 	}
 	time.Sleep(2 * time.Second)
 	return measureCPUShares(idle, idleDuration)[4], nil
 }
 
-// ownerGroup is a kind of group of replicas.
+// ownerGroup specifies a group of replicas: their number, and whether their stores are on disk.
 type ownerGroup struct {
 	voters int
 	disks  bool
@@ -70,7 +71,8 @@
 	return NewRigWithOptions(e, RigOptions{Processes: ownerCostProcesses, Seed: 3, Key: sealKey, SettingsSections: ownersSection(g.voters, g.disks, sections)})
 }
 
-// measure measures one kind of group; membership is the CPU of an idle process without owners.
+// measure measures a group and adds the result to the report. membership is the fraction of a core that
+// an idle process without owners uses.
 func (g ownerGroup) measure(e *Env, r *Report, membership float64) error {
 	moved, killed, err := g.handoverTimes(e)
 	if err != nil {
@@ -88,7 +90,8 @@
 	return nil
 }
 
-// handoverTimes are the milliseconds until another process acquires a job: from a request to move it, and from its owner's death.
+// handoverTimes returns the milliseconds until another process acquires a job: since the request to move
+// it, and since its owner was killed.
 func (g ownerGroup) handoverTimes(e *Env) (moved, killed samples, err error) {
 	rig, err := g.newRig(e, fmt.Sprintf("(drill %d) (hosts on)", ownerCostDrills))
 	if err != nil {
@@ -106,7 +109,8 @@
 	return moved, killed, err
 }
 
-// moveTimes moves jobs from owner to owner, and returns the milliseconds that each move took.
+// moveTimes moves jobs between processes and returns the milliseconds of each move, sorted. Moves
+// that fail or are rejected are left out. It updates owners.
 func moveTimes(rig *Rig, owners map[string]int) (took samples, err error) {
 	for round := range 40 {
 		job := fmt.Sprintf("drill%03d", round%ownerCostDrills)
@@ -118,7 +122,7 @@
 			continue
 		}
 		if _, ok := AwaitCondition(10*time.Second, func() bool { return len(rig.acquisitionTimes(to, job, startedAt)) > 0 }); !ok {
-			return nil, fmt.Errorf("n%[2]d does not acquire %[1]s", job, to)
+			return nil, fmt.Errorf("n%[2]d did not acquire %[1]s within 10 s", job, to)
 		}
 		took = append(took, float64(rig.acquisitionTimes(to, job, startedAt)[0].Sub(startedAt))/1e6)
 		owners[job] = to
@@ -127,7 +131,8 @@
 	return took, nil
 }
 
-// killTimes kills owners, and returns the milliseconds until another process acquires a job of each.
+// killTimes kills owners and returns, sorted, the milliseconds until another process acquires one job of
+// each.
 func killTimes(rig *Rig) (took samples, err error) {
 	for round := range 5 {
 		owners, err := rig.AwaitJobsOwned(ownerCostDrills + 1)
@@ -149,7 +154,7 @@
 	return took, nil
 }
 
-// acquiredByOther returns whether a process other than the given one acquired a job since a time.
+// acquiredByOther reports whether a process other than owner has acquired a job since a time.
 func (r *Rig) acquiredByOther(owner int, job string, from time.Time) bool {
 	for i := range r.Procs {
 		if i != owner && len(r.acquisitionTimes(i, job, from)) > 0 {
@@ -159,13 +164,13 @@
 	return false
 }
 
-// idleGroup is the cost of an idle group: parts of a core, and bytes a second.
+// idleGroup is the cost of an idle group: CPU time as fractions of a core, and bytes sent a second.
 type idleGroup struct {
 	leaderCPU, voterCPU, followerCPU float64
 	leaderBytes, followerBytes       int
 }
 
-// idleCost measures a group with one idle job, where only consensus and leases cost.
+// idleCost measures a group with one idle job, so that only consensus and leases cause costs.
 func (g ownerGroup) idleCost(e *Env) (idle idleGroup, err error) {
 	rig, err := g.newRig(e, "(hosts on)")
 	if err != nil {
@@ -190,7 +195,7 @@
 		leaderBytes: perSecond(leader), followerBytes: perSecond(follower)}, nil
 }
 
-// bytesSent are the bytes that each process has sent to other members, by its own count.
+// bytesSent returns the bytes that each process has sent to other members, according to its own count.
 func (r *Rig) bytesSent() []int {
 	sent := make([]int, len(r.Procs))
 	for i := range r.Procs {
@@ -200,7 +205,7 @@
 	return sent
 }
 
-// measureCPUShares is the part of a core that each process of a rig takes over a time.
+// measureCPUShares returns the fraction of a core that each process of a rig uses during a period.
 func measureCPUShares(r *Rig, duration time.Duration) []float64 {
 	before := make([]time.Duration, len(r.Procs))
 	for i, p := range r.Procs {
@@ -214,7 +219,8 @@
 	return shares
 }
 
-// measureSyncs are the milliseconds of each of 200 writes of 4 KiB with a sync, as a measure of the disk itself.
+// measureSyncs returns, sorted, the milliseconds of each of 200 synced writes of 4 KiB, as a reference for
+// the speed of the disk.
 func measureSyncs(dir string) (took samples, err error) {
 	f, err := os.Create(filepath.Join(dir, "raw"))
 	if err != nil {
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -17,9 +16,10 @@
 // diskFault is a fault of a replica's disk.
 type diskFault struct {
 	name string
-	// damage changes the store's file while its process is down; copied is the file at an earlier time. nil: the disk is full for a while.
+	// damage changes the store's file while its process is down. copied is the content of the file at an
+	// earlier time. If damage is nil, the fault is a disk that is full for 3 s.
 	damage        func(path string, copied []byte) error
-	expectedState string // of the replica afterwards, or the state of its store; "": either unreadable or member
+	expectedState string // phase of the replica or state of its store afterwards; if empty, unreadable or member
 }
 
 var diskFaults = []diskFault{
@@ -31,7 +31,7 @@
 	{"file lost", func(path string, _ []byte) error { return os.Remove(path) }, "outside"},
 }
 
-// accepts returns whether the fault may lead to a replica's state.
+// accepts reports whether a replica may have the given state after the fault.
 func (f *diskFault) accepts(state string) bool {
 	if f.expectedState != "" {
 		return strings.Contains(state, f.expectedState)
@@ -41,12 +41,12 @@
 
 // diskOutcome is the outcome of one fault at one replica.
 type diskOutcome struct {
-	answered int    // commands that were answered as done
-	lost     int    // of these, commands without effect afterwards
-	state    string // of the replica, afterwards
+	answered int    // commands answered as done
+	lost     int    // commands answered as done that have no effect afterwards
+	state    string // of the replica's store, with its phase, after the fault
 }
 
-// ownerDisk plays each disk fault at each replica, during a stream of commands.
+// ownerDisk injects each disk fault at each replica during a stream of commands.
 func ownerDisk(e *Env, r *Report) error {
 	const table = "disk faults, each at each of three replicas, during a stream of commands"
 	r.StartTable(table, "fault", "turns", "commands answered", "lost", "expected state")
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// runAtEachReplica plays the fault at each of three replicas, on rigs in parallel.
+// runAtEachReplica injects the fault at each of three replicas, on three rigs in parallel.
 func (f *diskFault) runAtEachReplica(e *Env) (outcomes [3]diskOutcome, err error) {
 	var errs [3]error
 	var runs sync.WaitGroup
@@ -90,7 +90,7 @@
 	return outcomes, nil
 }
 
-// truncateByHalf truncates a file to half its length.
+// truncateByHalf truncates a file to half of its length.
 func truncateByHalf(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -99,7 +99,8 @@
 	return os.WriteFile(path, data[:len(data)/2], 0o600)
 }
 
-// flipBytes changes bytes all over a file, except its first pages, which hold the store's metadata.
+// flipBytes changes bytes throughout a file, except for its first pages, which hold the store's
+// metadata.
 func flipBytes(path string) error {
 	const metadataBytes = 8192
 	data, err := os.ReadFile(path)
@@ -114,7 +115,8 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// run plays the fault at a replica's disk during a stream of commands, and counts the answered commands without effect afterwards.
+// run injects the fault at a replica's disk during a stream of commands, and counts the commands that
+// were answered as done and have no effect afterwards.
 func (f *diskFault) run(e *Env, voter int) (outcome diskOutcome, err error) {
 	rig, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 5, Key: sealKey, SettingsSections: ownersSection(3, true, "(hosts on)")})
 	if err != nil {
@@ -131,7 +133,7 @@
 	if err != nil {
 		return outcome, err
 	}
-	// The store has to change, so that the copy is an older state.
+	// Wait until the store has changed, so that the copy holds an older state.
 	if err := stream.awaitAnswers(10); err != nil {
 		return outcome, err
 	}
@@ -157,7 +159,7 @@
 	return outcome, err
 }
 
-// inject plays the fault, and has the replica run again.
+// inject injects the fault and returns once the replica runs again, or its disk has space again.
 func (f *diskFault) inject(rig *Rig, voter int, path string, copied []byte) error {
 	if f.damage == nil {
 		fill, free := rig.FillDisk(voter)
@@ -174,14 +176,14 @@
 	return rig.Start(voter)
 }
 
-// suspensionStream is a stream of commands that suspend hosts, one after the other.
+// suspensionStream sends commands that suspend hosts, one after the other.
 type suspensionStream struct {
 	stop     chan struct{}
-	finished chan []string // once: the hosts whose suspension was answered as done
+	finished chan []string // receives once: the hosts whose suspension was answered as done
 	answered atomic.Int64
 }
 
-// startSuspensionStream starts a stream, through the processes that are no replicas.
+// startSuspensionStream starts a stream of commands to the processes that are not replicas.
 func startSuspensionStream(rig *Rig) *suspensionStream {
 	s := &suspensionStream{stop: make(chan struct{}), finished: make(chan []string, 1)}
 	go func() {
@@ -203,22 +205,23 @@
 	return s
 }
 
-// awaitAnswers waits until n more commands are answered.
+// awaitAnswers waits until n more commands are answered as done.
 func (s *suspensionStream) awaitAnswers(n int64) error {
 	before := s.answered.Load()
 	if _, ok := AwaitCondition(recoveryTimeout, func() bool { return s.answered.Load() >= before+n }); !ok {
-		return errors.New("commands are not answered")
+		return fmt.Errorf("fewer than %d commands were answered as done within %v", n, recoveryTimeout)
 	}
 	return nil
 }
 
-// stopAndWait ends the stream and returns the hosts whose suspension was answered as done.
+// stopAndWait ends the stream and returns the hosts whose suspension was answered as done. It may be
+// called once.
 func (s *suspensionStream) stopAndWait() []string {
 	close(s.stop)
 	return <-s.finished
 }
 
-// suspendedHosts are the hosts that are suspended for the fleet.
+// suspendedHosts returns the words of the answer that lists the hosts suspended for the fleet.
 func suspendedHosts(rig *Rig) ([]string, error) {
 	var list owneragent.Reply
 	var err error
@@ -226,12 +229,12 @@
 		list, err = rig.SendOwnerRequest(4, owneragent.Request{Command: "list"})
 		return err == nil && strings.HasPrefix(list.Answer, "out for the fleet")
 	}); !ok {
-		return nil, fmt.Errorf("no list: %v %v", list, err)
+		return nil, fmt.Errorf("no list of suspended hosts after %v: reply %v, error %v", recoveryTimeout, list, err)
 	}
 	return strings.Fields(list.Answer), nil
 }
 
-// voterState is the state of a replica's store, and its phase in the group.
+// voterState returns the state of a replica's store, followed by its phase if it reports a group.
 func voterState(rig *Rig, voter int) (string, error) {
 	reply, err := rig.SendOwnerRequest(voter, owneragent.Request{Command: "status"})
 	if err != nil {
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -9,7 +8,8 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownerHandover shuts processes down, and replaces them, and measures for how long their jobs had no owner.
+// ownerHandover shuts processes down or replaces them, and measures for how long their jobs have no
+// owner.
 func ownerHandover(e *Env, r *Report) error {
 	const table = "time without an owner at handovers"
 	r.StartTable(table, "how", "replicas", "store", "handovers", "median ms", "p99 ms", "max ms")
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// handovers shuts down or replaces one process after the other, and returns the milliseconds for which each of their jobs had no owner.
+// handovers shuts down or replaces one process after the other. It returns, sorted, the milliseconds for
+// which each of their jobs had no owner.
 func handovers(e *Env, how string, disks bool) (samples, error) {
 	const jobs, rounds = 20, 8
 	r, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, SettingsSections: ownersSection(3, disks, fmt.Sprintf("(drill %d)", jobs))})
@@ -40,9 +41,9 @@
 		if _, err := r.AwaitJobsOwned(jobs); err != nil {
 			return nil, err
 		}
-		// One replica at a time, as docs/operate-ownership.md says.
+		// Only one replica may be restarted at a time, as docs/operate-ownership.md specifies.
 		if _, ok := AwaitCondition(recoveryTimeout, func() bool { return r.replicasReady(3, disks) }); !ok {
-			return nil, errors.New("the replicas are not ready")
+			return nil, fmt.Errorf("the replicas are not ready after %v", recoveryTimeout)
 		}
 		time.Sleep(4 * time.Second)
 		startedAt, old := time.Now(), r.Procs[round%5]
@@ -56,12 +57,13 @@
 	}
 	slices.Sort(took)
 	if len(took) < 10 {
-		return nil, fmt.Errorf("%d handovers are too few", len(took))
+		return nil, fmt.Errorf("%d handovers, want at least 10", len(took))
 	}
 	return took, nil
 }
 
-// replicasReady returns whether the replicas, which are the first processes, answer, and with disks are members that know a leader.
+// replicasReady reports whether the replicas, which are the first processes, answer. With disks, they
+// must also be members of the group and know its leader.
 func (r *Rig) replicasReady(replicas int, disks bool) bool {
 	for i := range replicas {
 		reply, err := r.SendOwnerRequest(i, owneragent.Request{Command: "status"})
@@ -72,7 +74,8 @@
 	return true
 }
 
-// handOver shuts process i down and starts it again, or replaces it by a hot restart.
+// handOver shuts process i down and starts it again if how is SIGTERM; otherwise it performs a hot
+// restart.
 func (r *Rig) handOver(i int, how string) error {
 	if how != "SIGTERM" {
 		return r.Replace(i)
@@ -83,7 +86,8 @@
 	return r.Start(i)
 }
 
-// releaseGaps are the milliseconds from each release of a job by a process since a time until the job's next acquisition by any process.
+// releaseGaps returns the milliseconds from each release of a job by a process since a time until any
+// process acquires the job. It leaves out jobs that no process acquired.
 func (r *Rig) releaseGaps(by *Process, since time.Time) (gaps samples) {
 	for _, line := range by.LogLines("event=job_released ") {
 		released := logTime(line)
@@ -97,7 +101,8 @@
 	return gaps
 }
 
-// timeUntilAcquired is the time from a moment to a job's next acquisition; -1: there was none.
+// timeUntilAcquired returns the time from a moment to the next acquisition of a job by any process. It
+// returns -1 if there was none.
 func (r *Rig) timeUntilAcquired(job string, from time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -26,13 +26,13 @@
 
 var callKinds = []callKind{suspendCall, resumeCall, listCall}
 
-// operatorCall is an operator's call in the history.
+// operatorCall is the input of an operator's call in the history.
 type operatorCall struct {
 	host string
 	kind callKind
 }
 
-// request is the call's request; a list is of all hosts.
+// request returns the call's request. A list call has no argument, since it lists all hosts.
 func (c operatorCall) request() owneragent.Request {
 	if c.kind == listCall {
 		return owneragent.Request{Command: string(c.kind)}
@@ -40,13 +40,14 @@
 	return owneragent.Request{Command: string(c.kind), Argument: c.host}
 }
 
-// The outputs of calls in the history, beside a list's true or false.
+// The outputs of calls in the history. A list call that succeeds has the output true or false instead:
+// whether its host is suspended.
 const (
 	callDone    = "done"
 	callUnknown = "unknown"
 )
 
-// suspensionModel is a host's state: whether it is suspended.
+// suspensionModel models a host as a register that holds whether the host is suspended.
 var suspensionModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
@@ -62,17 +63,17 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// operatorHistory is the history of operators' calls on a rig, beside faults.
+// operatorHistory records the operators' calls on a rig during faults.
 type operatorHistory struct {
 	rig        *Rig
-	stopping   chan struct{} // closed at the callers' end
+	stopping   chan struct{} // closed to stop the callers
 	callers    sync.WaitGroup
 	mu         sync.Mutex // protects operations
 	operations []porcupine.Operation
 	faultCount int
 }
 
-// startCallers starts operators, who call until stopCallers.
+// startCallers starts n operators that make calls until stopCallers.
 func (h *operatorHistory) startCallers(n int) {
 	for client := range n {
 		h.callers.Add(1)
@@ -83,7 +84,8 @@
 	}
 }
 
-// callUntilStopped plays one operator, who calls at random times, through the processes that are no replicas.
+// callUntilStopped makes one operator's calls, at random intervals of up to 300 ms, to the processes that
+// are not replicas.
 func (h *operatorHistory) callUntilStopped(client int) {
 	rng := rand.New(rand.NewPCG(uint64(client), 5))
 	for {
@@ -92,7 +94,7 @@
 			return
 		case <-time.After(time.Duration(rng.IntN(300)) * time.Millisecond):
 		}
-		// No upstream host has this ID, so that the calls do not change placements.
+		// No upstream host has this ID, so the calls do not change placements.
 		c := operatorCall{host: fmt.Sprintf("other%d", rng.IntN(3)), kind: callKinds[rng.IntN(len(callKinds))]}
 		calledAt := time.Now()
 		reply, err := h.rig.SendOwnerRequest(3+rng.IntN(2), c.request())
@@ -100,7 +102,8 @@
 	}
 }
 
-// record adds a call and its output.
+// record adds a call and its output to the history. The output is callUnknown if the call failed, was
+// refused or has an unknown outcome.
 func (h *operatorHistory) record(client int, c operatorCall, calledAt time.Time, reply owneragent.Reply, err error) {
 	operation := porcupine.Operation{ClientId: client, Input: c, Call: calledAt.UnixNano(), Output: callUnknown, Return: time.Now().UnixNano()}
 	done := err == nil && reply.Error == "" && !strings.HasPrefix(reply.Answer, "unknown") && !strings.HasPrefix(reply.Answer, "refused")
@@ -115,14 +118,15 @@
 	h.operations = append(h.operations, operation)
 }
 
-// stopCallers ends the callers.
+// stopCallers stops the operators and waits until they have ended.
 func (h *operatorHistory) stopCallers() {
 	close(h.stopping)
 	h.callers.Wait()
 }
 
-// check returns whether the history is linearizable. A call of unknown outcome may have taken effect at any time after it was made, or
-// never.
+// check reports whether the history is linearizable, and returns the number of calls and of those with an
+// unknown outcome. Such a call may have taken effect at any time after it was made, or never. It must not
+// be called before stopCallers has returned.
 func (h *operatorHistory) check() (linearizable bool, calls, unknown int) {
 	last := time.Now().Add(time.Hour).UnixNano()
 	byHost := map[string][]porcupine.Operation{}
@@ -136,7 +140,7 @@
 			op.Return = last
 			last++
 		}
-		op.ClientId = len(byHost[c.host]) // a call of unknown outcome overlaps its client's next one
+		op.ClientId = len(byHost[c.host]) // unique, since a call with an unknown outcome may overlap its client's next one
 		byHost[c.host] = append(byHost[c.host], op)
 	}
 	linearizable = true
@@ -146,7 +150,8 @@
 	return linearizable, len(h.operations), unknown
 }
 
-// injectFaults plays a fault every 2 s, at one of the three replicas at a time, so that a majority remains.
+// injectFaults injects a fault every 2 s, at one of the three replicas at a time, so that a majority of
+// them remains.
 func (h *operatorHistory) injectFaults(rng *rand.Rand, duration time.Duration) {
 	for end := time.Now().Add(duration - 4*time.Second); time.Now().Before(end); h.faultCount++ {
 		voter, other := rng.IntN(3), 0
@@ -158,10 +163,11 @@
 	}
 }
 
-// voterFaultDuration is how long each fault of a replica lasts.
+// voterFaultDuration is the duration of each fault of a replica.
 const voterFaultDuration = 2 * time.Second
 
-// injectVoterFault plays one of five kinds of fault at a replica: killed, paused, cut off, its link to one other cut, or datagrams lost.
+// injectVoterFault injects one of five kinds of fault at a replica: 0 kills it, 1 pauses it, 2 cuts it
+// off, 3 cuts its link to one other process, 4 loses and duplicates its datagrams.
 func (r *Rig) injectVoterFault(voter, other, kind int) error {
 	during := func(set func(on bool)) {
 		set(true)
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"slices"
 	"sync"
@@ -13,16 +12,17 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// FaultInjectionEnv names the planted fault with which croftlock-experiment runs as the program.
+// FaultInjectionEnv is the environment variable that makes croftlock-experiment run as croftlock with the
+// fault that it names.
 const FaultInjectionEnv = "CROFTLAB_PLANTED"
 
 // lateCase is a fault that makes owners act after their lease has ended.
 type lateCase struct {
 	name   string
-	inject func(l *lateOwner) error // makes the owner late, and returns once it no longer is
+	inject func(l *lateOwner) error // makes the owner late and returns once it no longer is
 }
 
-// The cases. Each lasts for lateFor, as its name says.
+// The cases of late owners. Their names contain lateDuration, the duration of the fault.
 var (
 	pausedCase = lateCase{"paused for 30 s between lease check and effect", (*lateOwner).pauseBeforeSending}
 	lateCases  = []lateCase{pausedCase, {"its datagrams delayed by 30 s", (*lateOwner).delayDatagrams},
@@ -31,16 +31,17 @@
 
 const lateDuration = 30 * time.Second
 
-// lateOutcome is the outcome of late owners.
+// lateOutcome is the outcome of a case.
 type lateOutcome struct {
-	jobs     int             // whose owner was late
+	jobs     int             // number of jobs whose owner was late
 	stale    int             // effects of an older token that were accepted after a newer one's
 	rejected int             // effects that the fence rejected
-	gaps     []time.Duration // during which a job had no owner
+	gaps     []time.Duration // for each job, the time without an owner
 }
 
-// ownerLate makes owners act late: paused between the check of the lease and the effect, with their datagrams delayed, and cut off in
-// either direction. Without the fence the first case has to be found.
+// ownerLate makes owners act late: they are paused between the lease check and the effect, their datagrams
+// are delayed, or they are cut off in one direction. To verify the check, it repeats the first case without
+// the fence, where stale effects must be found.
 func ownerLate(e *Env, r *Report) error {
 	const table = "late owners: five processes, three replicas with disks"
 	r.StartTable(table, "case", "fence", "jobs of late owners", "stale effects accepted", "rejected", "without an owner, median, worst")
@@ -72,7 +73,7 @@
 	r.AddRow(table, name, fence, o.jobs, o.stale, o.rejected, fmt.Sprint(median.Round(time.Millisecond), ", ", worst.Round(time.Millisecond)))
 }
 
-// run makes the owners of many jobs late, on several rigs in parallel.
+// run makes the owners of many jobs late, on several rigs in parallel, and adds up the outcomes.
 func (c lateCase) run(e *Env, fence bool) (total lateOutcome, err error) {
 	const rigs = 3
 	var outcomes [rigs]lateOutcome
@@ -93,7 +94,7 @@
 	return total, cmp.Or(errs[:]...)
 }
 
-// runOnRig makes one process late, which owns about a fifth of the jobs.
+// runOnRig makes one process late. The process owns about a fifth of the jobs.
 func (c lateCase) runOnRig(e *Env, fence bool, seed uint64) (outcome lateOutcome, err error) {
 	const jobs = 100
 	r, err := newLateRig(e, fence, jobs, seed)
@@ -113,7 +114,7 @@
 	}
 	slices.Sort(late.jobs)
 	if len(late.jobs) == 0 {
-		return outcome, errors.New("the process that is to be late owns no job")
+		return outcome, fmt.Errorf("n%d, which the case makes late, owns no job", late.process)
 	}
 	startedAt := time.Now()
 	if err := c.inject(late); err != nil {
@@ -134,9 +135,10 @@
 	return outcome, nil
 }
 
-// newLateRig starts five processes with many jobs, with the fence or without it.
+// newLateRig starts five processes with the given number of jobs, with or without the fence.
 func newLateRig(e *Env, fence bool, jobs int, seed uint64) (*Rig, error) {
-	// Without a key: sealed datagrams that are 30 s late are rejected before they reach the fence, which is to be tested.
+	// No key is set, since sealed datagrams that are 30 s late would be rejected before they reach the
+	// fence, which this experiment tests.
 	options := RigOptions{Processes: 5, Seed: seed, LogLevel: "debug", SettingsSections: ownersSection(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
 	env := *e
 	if !fence {
@@ -145,7 +147,7 @@
 	return NewRigWithOptions(&env, options)
 }
 
-// lateOwner is a process that is made late, and the jobs that it owned before.
+// lateOwner is a process that is made late, with the jobs that it owned before.
 type lateOwner struct {
 	rig     *Rig
 	process int
@@ -162,7 +164,8 @@
 	}
 }
 
-// pauseBeforeSending has one job stop the process between the check of the lease and the effect; its other jobs stop anywhere.
+// pauseBeforeSending pauses the process between the lease check and the effect of one job; its other jobs
+// pause at any point.
 func (l *lateOwner) pauseBeforeSending() error {
 	if _, err := l.rig.SendOwnerRequest(l.process, owneragent.Request{Command: "late", Argument: l.jobs[0]}); err != nil {
 		return err
@@ -172,14 +175,15 @@
 	return nil
 }
 
-// delayDatagrams delays the process's datagrams, then cuts it off until they arrive.
+// delayDatagrams delays the datagrams that the process sends by lateDuration, then cuts it off for half of
+// that time, and returns after the delayed datagrams have arrived.
 func (l *lateOwner) delayDatagrams() error {
 	l.changeLinks(func(link *fake.Link, out bool) {
 		if out {
 			link.Delay = lateDuration
 		}
 	})
-	time.Sleep(600 * time.Millisecond) // each job has an effect among the delayed datagrams
+	time.Sleep(600 * time.Millisecond) // each job, with an effect every 500 ms, has one among the delayed datagrams
 	l.changeLinks(func(link *fake.Link, _ bool) { link.Delay = 0; link.Cut = true })
 	time.Sleep(lateDuration / 2)
 	l.changeLinks(func(link *fake.Link, _ bool) { link.Cut = false })
@@ -193,6 +197,7 @@
 // cutOutbound cuts the links from the process.
 func (l *lateOwner) cutOutbound() error { return l.cutLinks(func(out bool) bool { return out }) }
 
+// cutLinks cuts the links in the selected direction for lateDuration.
 func (l *lateOwner) cutLinks(selects func(out bool) bool) error {
 	l.changeLinks(func(link *fake.Link, out bool) { link.Cut = selects(out) })
 	time.Sleep(lateDuration)
