--- a/internal/testbed/experiment/member.go
+++ b/internal/testbed/experiment/member.go
@@ -25,12 +25,12 @@
 		}
 		defer rig.Close()
 		for _, killed := range []int{1, n / 3} {
-			known, back, err := rig.killRepeatedly(killed)
+			detected, recovered, err := rig.killRepeatedly(killed)
 			if err != nil {
 				return err
 			}
-			p99 := known[len(known)-1]
-			r.AddRow(table, n, killed, len(known), known[len(known)/2], p99, back[len(back)/2])
+			p99 := detected[len(detected)-1]
+			r.AddRow(table, n, killed, len(detected), detected[len(detected)/2], p99, recovered[len(recovered)/2])
 			r.Check(p99 < 3*time.Second, fmt.Sprintf("%d of %d killed: all know within 3 s", killed, n), p99)
 		}
 		rig.Close()
@@ -108,25 +108,25 @@
 	r.StartTable(table, "pause", "unreachable at processes", "alive at all after", "accusations by the paused one")
 	for _, pause := range []time.Duration{200 * time.Millisecond, time.Second, 1900 * time.Millisecond, 10 * time.Second} {
 		if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
-			return fmt.Errorf("not all alive before a pause of %v", pause)
+			return fmt.Errorf("not all processes are alive after 30 s, before a pause of %v", pause)
 		}
 		unreachableBefore, accusedBefore := rig.logLines("to=unreachable", others...), rig.accusations(paused)
 		rig.Procs[paused].Signal(syscall.SIGSTOP)
 		time.Sleep(pause)
 		rig.Procs[paused].Signal(syscall.SIGCONT)
-		back, ok := rig.AwaitMemberState(20*time.Second, others, paused, "alive")
+		refutedAfter, ok := rig.AwaitMemberState(20*time.Second, others, paused, "alive")
 		if !ok {
-			return fmt.Errorf("the process is not alive at all others 20 s after a pause of %v", pause)
+			return fmt.Errorf("not all others see the process alive 20 s after a pause of %v", pause)
 		}
 		time.Sleep(2 * time.Second)
 		unreachable, accused := rig.logLines("to=unreachable", others...)-unreachableBefore, rig.accusations(paused)-accusedBefore
-		r.AddRow(table, pause, unreachable, back, accused)
+		r.AddRow(table, pause, unreachable, refutedAfter, accused)
 		if pause < 2*time.Second {
 			r.Check(unreachable == 0, fmt.Sprintf("a pause of %v removes no member", pause), unreachable)
 		} else {
 			r.Check(unreachable == 4, "a pause of 10 s is noticed by all", unreachable)
 		}
-		r.Check(back < time.Second, fmt.Sprintf("%v: refuted within 1 s", pause), back)
+		r.Check(refutedAfter < time.Second, fmt.Sprintf("%v: refuted within 1 s", pause), refutedAfter)
 		r.Check(accused == 0, fmt.Sprintf("%v: the paused process accuses no other", pause), accused)
 	}
 	return nil
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -42,7 +42,7 @@
 	r.StartTable(table, "cut", "wrongly unreachable", "cut link reported after", "all alive after healing")
 	for _, c := range linkCuts {
 		if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
-			return fmt.Errorf("%s: not all processes are alive 30 s after the previous cut", c.name)
+			return fmt.Errorf("%s: not all processes are alive after 30 s, before the cut", c.name)
 		}
 		rig.applyToLinks(c.cut, func(l *fake.Link) { l.Cut = true })
 		seen, err := c.observe(rig)
@@ -52,7 +52,7 @@
 		rig.applyToLinks(c.cut, func(l *fake.Link) { l.Cut = false })
 		recovered, ok := rig.AwaitAllAlive(20 * time.Second)
 		if !ok {
-			return fmt.Errorf("%s: not all alive 20 s after healing", c.name)
+			return fmt.Errorf("%s: not all processes are alive 20 s after the cut ended", c.name)
 		}
 		r.AddRow(table, c.name, seen.falselyUnreachable, seen.reportedAfter, recovered)
 		r.Check(seen.falselyUnreachable == 0, c.name+": the majority has no process as unreachable that it hears", seen.falselyUnreachable)
@@ -93,8 +93,8 @@
 // membersCommand returns the command that prints a running proxy's view of the members.
 func membersCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{Use: "members SOCKET", Short: "Ask a running proxy which others are there", Args: cobra.ExactArgs(1),
-		Long:    "Asks over the Unix socket that the operators' file names: (membership (socket \"/run/croftlock/members.sock\")).",
+	c := &cobra.Command{Use: "members SOCKET", Short: "Ask a running proxy for its view of the members", Args: cobra.ExactArgs(1),
+		Long:    "Asks over the Unix socket that the settings file sets, such as (membership (socket \"/run/croftlock/members.sock\")).",
 		Example: "  croftlock-experiment members /run/croftlock/members.sock --json",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			report, err := memberagent.RequestReport(args[0])
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -16,7 +16,7 @@
 	opsConnectionRate = 60.0            // short-lived connections a second
 	upgrades          = 20
 	upgradeTimeout    = 6 * time.Second        // for a new process to become ready
-	drainNoticeLimit  = 250 * time.Millisecond // after a suspension, the host receives no new requests
+	drainNoticeLimit  = 250 * time.Millisecond // from a suspension until the host receives no new requests
 )
 
 // opsUpgrade performs 20 hot restarts under load, then kills a process at each step of one.
--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -31,7 +31,7 @@
 	report      *Report
 	duration    time.Duration
 	clientRate  float64 // clients a second
-	baselineP99 float64 // milliseconds until a placement without faults
+	baselineP99 float64 // 99th percentile of the milliseconds until a placement, without faults
 }
 
 // newRig starts five processes, of which the first three are replicas, and waits until all jobs have
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -19,7 +19,7 @@
 	// damage changes the store's file while its process is down. copied is the content of the file at an
 	// earlier time. If damage is nil, the fault is a disk that is full for 3 s.
 	damage        func(path string, copied []byte) error
-	expectedState string // phase of the replica or state of its store afterwards; if empty, unreadable or member
+	expectedState string // part of diskOutcome.state; if empty, unreadable or member
 }
 
 var diskFaults = []diskFault{
@@ -179,7 +179,7 @@
 // suspensionStream sends commands that suspend hosts, one after the other.
 type suspensionStream struct {
 	stop     chan struct{}
-	finished chan []string // receives once: the hosts whose suspension was answered as done
+	finished chan []string // receives one value: the hosts whose suspension was answered as done
 	answered atomic.Int64
 }
 
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -130,22 +130,23 @@
 func (h *operatorHistory) check() (linearizable bool, calls, unknown int) {
 	last := time.Now().Add(time.Hour).UnixNano()
 	byHost := map[string][]porcupine.Operation{}
-	for _, op := range h.operations {
-		c := op.Input.(operatorCall)
-		if op.Output == callUnknown {
+	for _, operation := range h.operations {
+		c := operation.Input.(operatorCall)
+		if operation.Output == callUnknown {
 			unknown++
 			if c.kind == listCall {
 				continue
 			}
-			op.Return = last
+			operation.Return = last
 			last++
 		}
-		op.ClientId = len(byHost[c.host]) // unique, since a call with an unknown outcome may overlap its client's next one
-		byHost[c.host] = append(byHost[c.host], op)
+		// The ID is unique, since a call with an unknown outcome may overlap its client's next one.
+		operation.ClientId = len(byHost[c.host])
+		byHost[c.host] = append(byHost[c.host], operation)
 	}
 	linearizable = true
-	for _, ops := range byHost {
-		linearizable = linearizable && porcupine.CheckOperations(suspensionModel, ops)
+	for _, operations := range byHost {
+		linearizable = linearizable && porcupine.CheckOperations(suspensionModel, operations)
 	}
 	return linearizable, len(h.operations), unknown
 }
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -178,12 +178,13 @@
 // delayDatagrams delays the datagrams that the process sends by lateDuration, then cuts it off for half of
 // that time, and returns after the delayed datagrams have arrived.
 func (l *lateOwner) delayDatagrams() error {
-	l.changeLinks(func(link *fake.Link, out bool) {
-		if out {
+	l.changeLinks(func(link *fake.Link, outbound bool) {
+		if outbound {
 			link.Delay = lateDuration
 		}
 	})
-	time.Sleep(600 * time.Millisecond) // each job, with an effect every 500 ms, has one among the delayed datagrams
+	// Each job has an effect every 500 ms, so that one is among its delayed datagrams.
+	time.Sleep(600 * time.Millisecond)
 	l.changeLinks(func(link *fake.Link, _ bool) { link.Delay = 0; link.Cut = true })
 	time.Sleep(lateDuration / 2)
 	l.changeLinks(func(link *fake.Link, _ bool) { link.Cut = false })
@@ -192,14 +193,18 @@
 }
 
 // cutInbound cuts the links to the process.
-func (l *lateOwner) cutInbound() error { return l.cutLinks(func(out bool) bool { return !out }) }
+func (l *lateOwner) cutInbound() error {
+	return l.cutLinks(func(outbound bool) bool { return !outbound })
+}
 
 // cutOutbound cuts the links from the process.
-func (l *lateOwner) cutOutbound() error { return l.cutLinks(func(out bool) bool { return out }) }
+func (l *lateOwner) cutOutbound() error {
+	return l.cutLinks(func(outbound bool) bool { return outbound })
+}
 
 // cutLinks cuts the links in the selected direction for lateDuration.
-func (l *lateOwner) cutLinks(selects func(out bool) bool) error {
-	l.changeLinks(func(link *fake.Link, out bool) { link.Cut = selects(out) })
+func (l *lateOwner) cutLinks(selects func(outbound bool) bool) error {
+	l.changeLinks(func(link *fake.Link, outbound bool) { link.Cut = selects(outbound) })
 	time.Sleep(lateDuration)
 	l.changeLinks(func(link *fake.Link, _ bool) { link.Cut = false })
 	return nil
