--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -193,14 +193,10 @@
 }
 
 // cutInbound cuts the links to the process.
-func (l *lateOwner) cutInbound() error {
-	return l.cutLinks(func(outbound bool) bool { return !outbound })
-}
+func (l *lateOwner) cutInbound() error { return l.cutLinks(func(out bool) bool { return !out }) }
 
 // cutOutbound cuts the links from the process.
-func (l *lateOwner) cutOutbound() error {
-	return l.cutLinks(func(outbound bool) bool { return outbound })
-}
+func (l *lateOwner) cutOutbound() error { return l.cutLinks(func(out bool) bool { return out }) }
 
 // cutLinks cuts the links in the selected direction for lateDuration.
 func (l *lateOwner) cutLinks(selects func(outbound bool) bool) error {
