--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -69,7 +69,8 @@
 	Window      time.Duration // dedup window; used only with IdempotentByKey
 }
 
-// Idempotency specifies whether a class's requests may be repeated. Its values are those of the settings.
+// Idempotency specifies whether the requests of a class may be repeated. Its values are those of the
+// settings.
 type Idempotency string
 
 // The values of Idempotency.
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -145,8 +145,8 @@
 		byHost[c.host] = append(byHost[c.host], operation)
 	}
 	linearizable = true
-	for _, operations := range byHost {
-		linearizable = linearizable && porcupine.CheckOperations(suspensionModel, operations)
+	for _, hostOperations := range byHost {
+		linearizable = linearizable && porcupine.CheckOperations(suspensionModel, hostOperations)
 	}
 	return linearizable, len(h.operations), unknown
 }
