--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -109,8 +109,9 @@
 
 // Connector opens upstream requests.
 type Connector interface {
-	// Start begins to connect to a host, and gives up after the duration connect. Once connected it
-	// sends first, and it notifies ev of what follows. until is the loop's time, in nanoseconds, at
-	// which the proxy stops waiting for the host's answer.
-	Start(to Target, first RequestLine, until int64, connect time.Duration, ev UpstreamEvents) Upstream
+	// Start starts an upstream request to a host. The attempt to connect fails after connectTimeout.
+	// Once connected, the Upstream sends first. It reports its progress, the host's messages and its
+	// end by calling the methods of events. deadline is the Unix time in nanoseconds, on the loop's
+	// clock, at which the proxy stops waiting for the host's answer.
+	Start(to Target, first RequestLine, deadline int64, connectTimeout time.Duration, events UpstreamEvents) Upstream
 }
--- a/internal/fleet/consensus/change.go
+++ b/internal/fleet/consensus/change.go
@@ -12,7 +12,7 @@
 const promotionLag = 64
 
 // Add proposes to add a process to the group as a learner, which does not vote. The process must
-// have applied by sending a hello to this replica; operators read that as "asked to be taken in".
+// have applied by sending a hello to this replica; errors call that "asked to be taken in".
 // The tag is passed to Effects.Applied once the change is applied.
 func (c *Core) Add(now Time, tag uint64, name string) error {
 	id, isApplicant := c.joining.applicants[name]
@@ -25,7 +25,7 @@
 	return c.proposeChange(now, tag, name, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddLearnerNode, NodeID: id})
 }
 
-// Promote proposes to make a learner, which operators know as a "member that listens", a voter. It
+// Promote proposes to make a learner a voter; errors call a learner a "member that listens". It
 // fails until the learner has caught up. If the process lost its disk and an earlier identity of it
 // is a voter, the same change removes that identity, so that the number of voters stays the same.
 func (c *Core) Promote(now Time, tag uint64, name string) error {
--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -68,10 +68,11 @@
 	// lost after a random time between this and twice this without a message from it. The default
 	// is 8.
 	ElectionTicks int
-	// SnapshotEvery is the number of commands after which a snapshot is taken. The default is 512.
+	// SnapshotEvery is the number of applied log entries after which a snapshot is taken. The
+	// default is 512.
 	SnapshotEvery int
-	// TrailingEntries is the number of entries kept before a snapshot, for replicas that lag. The
-	// default is 128.
+	// TrailingEntries is the number of log entries that are kept although a snapshot covers them,
+	// for replicas that lag. The default is 128.
 	TrailingEntries int
 }
 
@@ -88,6 +89,7 @@
 	return cfg, nil
 }
 
+// setDefault sets *value to fallback unless it is positive.
 func setDefault[T int | Time](value *T, fallback T) {
 	if *value <= 0 {
 		*value = fallback
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -19,7 +19,7 @@
 	effects Effects
 	store   Store
 	rng     *rand.Rand
-	now     Time
+	now     Time // latest time passed by the caller
 
 	phase       Phase
 	failure     error // why the phase is Broken
@@ -36,7 +36,7 @@
 
 	node       *raft.RawNode // nil while raft does not run
 	storage    *raft.MemoryStorage
-	lastTick   Time
+	lastTick   Time // time of the last call of Tick, or of startRaft
 	processing bool // whether processReady is running
 }
 
@@ -124,7 +124,8 @@
 }
 
 // tickLeader ticks raft for the time since the last call, including a pause of this process, so
-// that a leader steps down if it has not heard from a majority for an election timeout.
+// that a leader steps down if it has not heard from a majority for an election timeout. It ticks
+// raft for at most two election timeouts.
 func (c *Core) tickLeader(elapsed Time) {
 	ticks := max(1, min(elapsed/c.cfg.TickInterval, Time(2*c.cfg.ElectionTicks)))
 	for range ticks {
--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -35,7 +35,7 @@
 // error every call that saves fails.
 func (s *Store) Load() (out consensus.StoredState, err error) {
 	// Load reads and checks all records itself. bbolt's own check can't be used: it runs in a
-	// goroutine of its own, in which a fault ends the process.
+	// separate goroutine, in which a fault ends the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -64,12 +64,13 @@
 type loader struct {
 	state consensus.StoredState
 	meta  *bbolt.Bucket
-	// complete reports whether the file has an identity. A bootstrap stores that last, so that then
-	// all records must exist.
+	// complete reports whether the file has an identity. A bootstrap stores the identity last, so
+	// that a file with an identity must have all other records.
 	complete bool
 	extent   extent
 }
 
+// loadMeta reads the records of the bucket meta: extent, identity, hard state and snapshot.
 func (l *loader) loadMeta() error {
 	if err := l.loadRecord(keyExtent, l.extent.decode); err != nil {
 		return err
@@ -112,6 +113,7 @@
 	return r.Err()
 }
 
+// loadStarts reads the start records and checks their number against the extent.
 func (l *loader) loadStarts(b *bbolt.Bucket) error {
 	err := b.ForEach(func(key, stored []byte) error {
 		data, err := decodeRecord(key, stored)
--- a/internal/fleet/consensus/disk/open.go
+++ b/internal/fleet/consensus/disk/open.go
@@ -68,6 +68,7 @@
 	return fmt.Errorf("%w: %s: %v", ErrUnreadable, path, err)
 }
 
+// syncDir makes the entries of a directory durable.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
--- a/internal/fleet/consensus/disk/record.go
+++ b/internal/fleet/consensus/disk/record.go
@@ -40,11 +40,13 @@
 // keyNumber returns the number that numberKey encoded.
 func keyNumber(key []byte) uint64 { return binary.BigEndian.Uint64(key) }
 
+// putRecord stores data under key, with a checksum.
 func putRecord(b *bbolt.Bucket, key, data []byte) error { return b.Put(key, encodeRecord(key, data)) }
 
 // marshaler is implemented by the types of raftpb.
 type marshaler interface{ Marshal() ([]byte, error) }
 
+// putMarshaled stores the encoding of a record under key, with a checksum.
 func putMarshaled(b *bbolt.Bucket, key []byte, record marshaler) error {
 	data, err := record.Marshal()
 	if err != nil {
--- a/internal/fleet/consensus/disk/store.go
+++ b/internal/fleet/consensus/disk/store.go
@@ -50,8 +50,8 @@
 	failed   error // first error of a call that saves, or of Load; every later call that saves returns it
 }
 
-// update runs f in a transaction. A page that can't be read, which faults in the memory map,
-// becomes an error. After an error all further calls fail.
+// update runs f in a transaction. It returns an error if a page of the memory map can't be read,
+// which otherwise would end the process with a fault. After an error all later calls fail.
 func (s *Store) update(f func(tx *bbolt.Tx) error) (err error) {
 	if s.failed != nil {
 		return s.failed
@@ -151,6 +151,7 @@
 	return nil
 }
 
+// saveEntries replaces the log from the index of the first entry on.
 func saveEntries(tx *bbolt.Tx, entries []raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
--- a/internal/fleet/consensus/disk/store_test.go
+++ b/internal/fleet/consensus/disk/store_test.go
@@ -38,6 +38,7 @@
 	return s
 }
 
+// mustLoad returns the state that Load returns.
 func mustLoad(t testing.TB, s *Store) consensus.StoredState {
 	t.Helper()
 	state, err := s.Load()
@@ -55,7 +56,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	must := func(err error) {
+	must := func(err error) { // ends the test if err is not nil
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/consensus/doc.go
+++ b/internal/fleet/consensus/doc.go
@@ -14,7 +14,7 @@
 //   - appliedLog: how far the log has been applied to the state machines and covered by snapshots
 //   - electionTimer: decides when a follower considers its leader lost
 //
-// Safety rests on three properties:
+// Safety rests on three properties, to which comments refer by name:
 //
 //   - Durability: a process votes and acknowledges only what its Store has made durable.
 //   - Fail-stop: a process whose Store fails stops at once.
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -55,10 +55,10 @@
 	applied   map[uint64]bool // tags passed to Applied
 	confirmed map[uint64]bool // tags passed to Confirmed
 	queue     []queuedMessage
-	loss      float64 // probability that a message is lost
-	isCut     func(from, to string) bool
+	loss      float64                    // probability that a message is lost
+	isCut     func(from, to string) bool // reports whether messages between two processes are lost
 	lastTag   uint64
-	events    []string
+	events    []string // logged events with the names of their processes
 }
 
 // newGroup starts the initial voters.
@@ -104,6 +104,7 @@
 	}
 }
 
+// start starts a process like mustStart, and returns the error of Open.
 func (g *testGroup) start(name string) error {
 	if g.disks[name] == nil {
 		g.disks[name] = &MemoryStore{}
@@ -171,6 +172,7 @@
 	return nil
 }
 
+// newTag returns a tag that was not used before.
 func (g *testGroup) newTag() uint64 { g.lastTag++; return g.lastTag }
 
 // propose proposes a command to the leader until it is applied.
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -8,8 +8,8 @@
 
 const (
 	helloInterval = Time(2e8) // 200 ms
-	// otherVotersTimeout is how long a start waits for the remaining voters after a majority
-	// answered.
+	// otherVotersTimeout is how long, from its first tick or bootstrap, a start waits for the
+	// answers of all other voters even if a majority has answered.
 	otherVotersTimeout = Time(1e9) // 1 s
 )
 
@@ -26,8 +26,8 @@
 	startedAt    Time                   // first tick or bootstrap; negative before the first tick
 	lastHello    Time                   // 0 before the first hello
 	answers      map[uint32]bool        // whether a peer knows a group, for each peer whose answer counts
-	startRecords map[uint64]StartRecord // stored, by replica
-	received     map[uint64]provenState // since this process started, by replica
+	startRecords map[uint64]StartRecord // copy of the stored records, by identity of the replica
+	received     map[uint64]provenState // proven since this process started, by identity of the replica
 	applicants   map[string]uint64      // identities of the processes that ask to be added, by name
 }
 
@@ -97,6 +97,7 @@
 	return peers
 }
 
+// sendHello sends a hello to each other voter.
 func (c *Core) sendHello() {
 	h := hello{group: c.cfg.Group, name: c.cfg.Name, replica: c.identity.ID, starts: c.identity.Starts, incarnation: c.incarnation}
 	data := h.encode()
@@ -132,11 +133,11 @@
 	received := c.joining.received[replica]
 	// An initial voter that this process has never seen must be able to complete the bootstrap, so
 	// the answer does not report the group to it.
-	everSeen := start.Starts > 0 || received.term > 0 || !c.configuration.isInitialMember(replica)
+	reportsGroup := start.Starts > 0 || received.term > 0 || !c.configuration.isInitialMember(replica)
 	answer := welcome{
 		group:      c.cfg.Group,
 		replica:    h.replica,
-		hasGroup:   c.configuration.formed() && everSeen,
+		hasGroup:   c.configuration.formed() && reportsGroup,
 		hasRecords: c.identity.ID != 0 && c.phase != NotMember,
 		start:      start,
 		received:   received,
@@ -145,8 +146,8 @@
 	return nil
 }
 
-// handleWelcome handles the answer to a hello. The answer of a process without records of its own
-// counts only while this process has no identity.
+// handleWelcome handles the answer to a hello. An answer without hasRecords counts only while this
+// process has no identity.
 func (c *Core) handleWelcome(from uint32, m welcome) error {
 	if m.group != c.cfg.Group || m.replica != c.identity.ID {
 		return ErrInvalidWelcome
@@ -202,7 +203,8 @@
 }
 
 // enoughAnswers reports whether a majority of the voters, including this one, has recorded this
-// start. Staleness: a later start with an older file then gets an answer from at least one of them.
+// start. others is the number of other voters. Staleness: a later start with an older file then
+// gets an answer from at least one of that majority.
 func (c *Core) enoughAnswers(others int) bool {
 	enough := (others + 1) / 2
 	if c.identity.Starts == 1 && isInitial(c.identity.ID) {
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -11,8 +11,8 @@
 
 // leadership holds what this process has logged of its own leadership, and its last transfer.
 type leadership struct {
-	reportedTerm  uint64 // term that this process was logged to lead; 0 if it does not lead
-	transferUntil Time   // until this time the process does not act as the leader, after a transfer
+	reportedTerm  uint64 // term in which this process has logged that it leads; 0 if it does not lead
+	transferUntil Time   // time until which this process does not act as the leader after a transfer
 }
 
 // Leading reports whether this process leads and has applied all entries that earlier leaders
--- a/internal/fleet/consensus/memory.go
+++ b/internal/fleet/consensus/memory.go
@@ -19,7 +19,7 @@
 	InjectedErr error // returned by Load and each call that saves, unless nil
 
 	stored StoredState
-	synced *StoredState // state after a crash with SkipSync; nil if that is stored
+	synced *StoredState // state that a crash leaves, with SkipSync; nil if a crash loses nothing
 	closed bool
 }
 
@@ -50,6 +50,8 @@
 	return out, m.InjectedErr
 }
 
+// write calls f to change the state. It returns an error instead if the store is closed or
+// InjectedErr is set.
 func (m *MemoryStore) write(f func(s *StoredState)) error {
 	if m.closed {
 		return ErrClosed
--- a/internal/fleet/consensus/message.go
+++ b/internal/fleet/consensus/message.go
@@ -40,8 +40,8 @@
 type hello struct {
 	group, name string
 	replica     uint64 // identity of the process; 0 if it has none yet
-	starts      uint64
-	incarnation uint64
+	starts      uint64 // number of starts with the store of the process, including this one
+	incarnation uint64 // random at each start
 }
 
 func (h hello) encode() []byte {
@@ -60,12 +60,16 @@
 
 // welcome tells a starting process what the sender knows of it.
 type welcome struct {
-	group      string
-	replica    uint64 // identity in the hello
-	hasGroup   bool   // whether the sender knows a group, so that the process must not bootstrap it again
-	hasRecords bool   // whether the sender has a store of its own: what it does not know has not happened
-	start      StartRecord
-	received   provenState
+	group   string
+	replica uint64 // identity that the hello named; 0 if it named none
+	// hasGroup reports whether the sender knows a group, so that the process must not bootstrap it
+	// again.
+	hasGroup bool
+	// hasRecords reports whether the sender has an identity and is starting or a member. Its start
+	// records are then complete: a start that they do not contain was never answered by the sender.
+	hasRecords bool
+	start      StartRecord // last start of the process that the sender knows of
+	received   provenState // what the sender has received from the process
 }
 
 func (m welcome) encode() []byte {
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -161,6 +161,7 @@
 	}
 }
 
+// sendRaft sends a message of the raft library. It drops one to this replica itself.
 func (c *Core) sendRaft(m *raftpb.Message) {
 	if m.To == c.identity.ID {
 		return
@@ -171,8 +172,8 @@
 	}
 	c.effects.Send(peerOf(m.To), data)
 	if m.Type == raftpb.MsgSnap {
-		// Without this report the library would send nothing else to that replica. It sends a
-		// snapshot that is lost again.
+		// Without this report the library would send nothing else to that replica. If the snapshot
+		// is lost, the library sends one again.
 		c.node.ReportSnapshot(m.To, raft.SnapshotFinish)
 	}
 }
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -13,6 +13,7 @@
 // another replica, with another nonce. The initial voters have nonce 0.
 func VoterID(name string, nonce uint32) uint64 { return uint64(nonce)<<32 | uint64(PeerID(name)) }
 
+// peerOf returns the peer of the process that has a replica's identity.
 func peerOf(id uint64) uint32 { return uint32(id) }
 
 // isInitial reports whether id is the first identity of an initial voter.
--- a/internal/fleet/encoding/encoding.go
+++ b/internal/fleet/encoding/encoding.go
@@ -64,7 +64,7 @@
 // Bool reads a flag. It returns false for any number other than 1.
 func (r *Reader) Bool() bool { return r.Uint() == 1 }
 
-// Bytes reads a byte string of at most maxBytes. The result is a slice of Data, not a copy.
+// Bytes reads a byte string of at most maxBytes bytes. The result is a slice of Data, not a copy.
 func (r *Reader) Bytes(maxBytes int) []byte {
 	n := r.Uint()
 	if n > uint64(maxBytes) || n > uint64(len(r.Data)) {
@@ -99,4 +99,5 @@
 	return nil
 }
 
+// fail makes all later reads fail.
 func (r *Reader) fail() { r.malformed, r.Data = true, nil }
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -9,18 +9,20 @@
 // lossyLink connects two transports with a link that loses, duplicates and reorders datagrams.
 type lossyLink struct {
 	rng             *rand.Rand
-	loss            float64
+	loss            float64 // probability that a datagram is lost
 	ends            [2]*Transport
 	queue           []queuedDatagram
-	received        [2][][]byte
-	longestDatagram int
+	received        [2][][]byte // messages delivered at each end
+	longestDatagram int         // length of the longest datagram sent, in bytes
 }
 
+// queuedDatagram is a datagram in flight.
 type queuedDatagram struct {
-	end  int
+	end  int // index of the receiver in lossyLink.ends
 	data []byte
 }
 
+// testEnd implements Effects for one end of a lossyLink.
 type testEnd struct {
 	link  *lossyLink
 	index int
@@ -40,6 +42,7 @@
 	e.link.received[e.index] = append(e.link.received[e.index], append([]byte(nil), data...))
 }
 
+// newLossyLink returns a link between two transports that send datagrams of at most 240 bytes.
 func newLossyLink(seed uint64, loss float64) *lossyLink {
 	l := &lossyLink{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss}
 	for i := range l.ends {
@@ -48,6 +51,7 @@
 	return l
 }
 
+// run delivers the datagrams in random order and ticks both transports, in steps of 10 ms.
 func (l *lossyLink) run(from, to Time) {
 	for now := from; now < to; now += 1e7 {
 		due := l.queue
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -5,7 +5,7 @@
 // incoming is a long message of which some pieces have arrived.
 type incoming struct {
 	message        messageID
-	data           []byte
+	data           []byte // pieces at their offsets; those that are missing are zero
 	received       []bool // by index of the piece
 	missing        int    // number of pieces that have not arrived
 	pieceBytes     int    // length of each piece but the last
--- a/internal/fleet/fragment/send.go
+++ b/internal/fleet/fragment/send.go
@@ -8,9 +8,9 @@
 	data     []byte
 	acked    []bool // by index of the piece
 	unacked  int    // number of pieces that are not acknowledged
-	next     int    // index of the next piece to send, plus the number of pieces per completed round
+	next     int    // pieces visited over all rounds; modulo the number of pieces, the index of the next one
 	sentAt   Time   // time of the last burst
-	giveUpAt Time
+	giveUpAt Time   // when the message is abandoned
 }
 
 // Send sends a message to a peer. It returns ErrMessageTooLong if data is longer than
@@ -80,6 +80,7 @@
 	}
 }
 
+// acknowledge records the pieces whose bits are set as acknowledged.
 func (o *outgoing) acknowledge(received bitmap) {
 	for i := range o.acked {
 		if !o.acked[i] && received.isSet(i) {
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -14,7 +14,7 @@
 	// GiveUpAfter is how long an unacknowledged message is retransmitted.
 	GiveUpAfter = Time(3e9) // 3 s
 
-	minPieceBytes  = 16
+	minPieceBytes  = 16        // minimum of Transport.pieceBytes, even if maxDatagram allows less
 	piecesPerBurst = 24        // pieces of a message that are sent at a time
 	burstInterval  = Time(4e7) // 40 ms between two bursts of a message
 	maxOutgoing    = 4         // unacknowledged long messages to a peer
@@ -50,14 +50,15 @@
 
 	effects      Effects
 	incarnation  uint32 // distinguishes messages of this process from those of an earlier one
-	lastSequence uint32
-	pieceBytes   int // length of each piece but the last
+	lastSequence uint32 // sequence number of the last long message sent
+	pieceBytes   int    // length of each piece but the last
 	peers        map[uint32]*peerState
 	peerIDs      []uint32 // sorted, since runs that send in the random order of a map can't be replayed
-	buffer       []byte
+	buffer       []byte   // for the datagram that is being sent
 }
 
 // New returns a Transport. maxDatagram is the length of the longest datagram to send, in bytes.
+// incarnation must differ from those of earlier processes with this member ID.
 func New(maxDatagram int, incarnation uint32, effects Effects) *Transport {
 	return &Transport{
 		effects:     effects,
--- a/internal/fleet/group/machines_test.go
+++ b/internal/fleet/group/machines_test.go
@@ -24,6 +24,7 @@
 	return nil
 }
 
+// encodeStates encodes the snapshots of machines with these states, which are numbered from 1.
 func encodeStates(states ...string) []byte {
 	machines := map[byte]Machine{}
 	for i, state := range states {
@@ -42,12 +43,12 @@
 		name      string
 		data      []byte
 		want      string // state of machine 1 afterwards
-		machine   string // error of the machine; empty if none is expected
+		wantError string // error of RestoreSnapshots; empty if none is expected
 		truncated bool   // whether the reader must report an error
 	}{
 		{name: "one machine", data: encodeStates("one"), want: "one"},
 		{name: "a machine that is not known here", data: complete, want: "one"},
-		{name: "an invalid state", data: encodeStates("invalid"), want: "before", machine: "machine 1: invalid state"},
+		{name: "an invalid state", data: encodeStates("invalid"), want: "before", wantError: "machine 1: invalid state"},
 		{name: "truncated", data: complete[:len(complete)-1], want: "one", truncated: true},
 		{name: "a state beyond the bound", data: encodeStates(strings.Repeat("x", 101)), want: "before", truncated: true},
 		{name: "empty", want: "before", truncated: true},
@@ -59,8 +60,8 @@
 		if machine.state != c.want || (r.Err() != nil) != c.truncated {
 			t.Errorf("%s: state %q, reader error %v; want state %q, reader error: %t", c.name, machine.state, r.Err(), c.want, c.truncated)
 		}
-		if (err != nil) != (c.machine != "") || err != nil && err.Error() != c.machine {
-			t.Errorf("%s: RestoreSnapshots returned %v, want the error %q", c.name, err, c.machine)
+		if (err != nil) != (c.wantError != "") || err != nil && err.Error() != c.wantError {
+			t.Errorf("%s: RestoreSnapshots returned %v, want the error %q, none if that is empty", c.name, err, c.wantError)
 		}
 	}
 }
--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -8,7 +8,7 @@
 // drillCheckpointInterval is how many numbers a drill sends between two checkpoints.
 const drillCheckpointInterval = 10
 
-// Drill is a job that only sends a rising number to every member. Operators use it to test the
+// Drill is a job that only sends an increasing number to every member. Operators use it to test the
 // ownership of jobs before anything depends on it.
 type Drill struct {
 	Interval Time // between two numbers, in nanoseconds
--- a/internal/fleet/jobs/fakegroup_test.go
+++ b/internal/fleet/jobs/fakegroup_test.go
@@ -19,14 +19,16 @@
 	answers map[uint64]string   // answers to commands, by tag
 
 	job          *SuspendedHosts
-	token        uint64
-	unresponsive bool // whether the group stores no checkpoint and does not reply
+	token        uint64 // token of the current owner
+	unresponsive bool   // whether the group stores no checkpoint and does not reply
 
 	checkpoint       []byte
 	checkpointNumber uint64
-	leaseEnded       bool
+	leaseEnded       bool // whether StoreCheckpoint fails
 }
 
+// newFakeGroup returns a group of n members, n0 and up, whose peers are numbered from 1. It starts
+// the first owner.
 func newFakeGroup(n int) *fakeGroup {
 	g := &fakeGroup{fences: map[uint32]*ownership.Fence{}, applied: map[uint32][]string{}, cutOff: map[uint32]bool{}, answers: map[uint64]string{}}
 	for i := range n {
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -20,19 +20,20 @@
 // Member is a process of the fleet, as known to membership.
 type Member struct {
 	Name string
-	Peer uint32
+	Peer uint32 // identifies the member in messages; see group.Peer
 	// Incarnation is membership's, or ownership's for this process itself. It must only be compared
 	// for equality, to distinguish processes that had the same name.
 	Incarnation uint64
 	Present     bool // whether the member is alive, suspect or joining
 }
 
-// Owner provides a job with what it may do at its owner. It is valid from Job.Start to Job.Stop.
+// Owner provides the operations that a job may use at its owner. It is valid from Job.Start to
+// Job.Stop.
 type Owner interface {
-	// SendEffect sends an effect to a receiver, with the owner's fencing token. It sends nothing
-	// once the lease has ended.
+	// SendEffect sends an effect to a receiver, with the owner's token and number as the sequence of
+	// its fencing token. It sends nothing once the lease has ended.
 	SendEffect(to uint32, number uint64, body []byte)
-	// StoreCheckpoint asks the group to store a checkpoint under a number, which must rise. The
+	// StoreCheckpoint asks the group to store a checkpoint under a number, which must increase. The
 	// result is passed to Job.CheckpointStored. It returns an error if the lease has ended or the
 	// checkpoint is longer than ownership.MaxCheckpointBytes.
 	StoreCheckpoint(number uint64, checkpoint []byte) error
@@ -49,8 +50,8 @@
 type Job interface {
 	// Start continues from the last owner's checkpoint. That owner has released the job, or its
 	// lease has ended even allowing for clock drift. Its effects that are still in flight are
-	// rejected by the fences of receivers that have accepted one of this owner. An error releases
-	// the job.
+	// rejected by the fences of receivers that have accepted an effect of this owner. An error
+	// releases the job.
 	Start(now Time, o Owner, token, checkpointNumber uint64, checkpoint []byte) error
 	// Step is called about every 100 ms.
 	Step(now Time)
--- a/internal/fleet/jobs/migrationpacer_test.go
+++ b/internal/fleet/jobs/migrationpacer_test.go
@@ -27,9 +27,10 @@
 	owner    *MigrationPermits  // nil if there is no owner
 	replies  replyOwner
 	inFlight []delayedMessage
-	migrated []Time
+	migrated []Time // time of each migration, in order
 }
 
+// newPacedFleet returns a fleet without an owner.
 func newPacedFleet(seed uint64) *pacedFleet {
 	f := &pacedFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: 1}
 	for i := range f.pacers {
@@ -41,12 +42,14 @@
 	return f
 }
 
+// send delivers a message after a random delay, or loses it.
 func (f *pacedFleet) send(deliver func(now Time)) {
 	if f.rng.Float64() < 0.8 {
 		f.inFlight = append(f.inFlight, delayedMessage{at: f.now + f.rng.Int64N(300*ms), deliver: deliver})
 	}
 }
 
+// query passes a proxy's query to the owner, and sends back the reply.
 func (f *pacedFleet) query(now Time, proxy int, tag uint64, body []byte) {
 	if f.owner == nil || f.cut[proxy] {
 		return
--- a/internal/fleet/jobs/suspendedhosts.go
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -20,7 +20,7 @@
 )
 
 // SuspendedHosts is the job that keeps the list of hosts that operators have suspended fleet-wide.
-// Its owner puts the commands in one order. Each effect holds the complete list, so that a late
+// Its owner serializes the commands. Each effect holds the complete list, so that a late
 // effect, which the fence rejects, is not needed. A list is sent only once the group has stored it,
 // so that a later owner starts with it.
 type SuspendedHosts struct {
@@ -29,12 +29,12 @@
 
 	owner            Owner  // nil while this process does not own the job
 	token            uint64 // the owner's token
-	listNumber       uint64 // of the current list, its checkpoint and its effects; rises with each command
+	listNumber       uint64 // of the current list, its checkpoint and its effects; increases with each command
 	storedListNumber uint64 // highest list number that the group has stored
 	hosts            hostList
 	acknowledged     map[receiver]uint64 // number of the latest list that each receiver has applied
 	sentAt           map[receiver]Time   // when a list was last sent to each receiver; 0 if never
-	waiting          []*waitingCommand
+	waiting          []*waitingCommand   // the oldest first
 }
 
 // receiver identifies a process that receives the list. A restarted member is a new receiver, which
@@ -154,7 +154,7 @@
 }
 
 // storeOverdue reports whether the group has not reported the list within storeRetryDelay of the
-// last command.
+// last command. It returns false if no command waits.
 func (h *SuspendedHosts) storeOverdue(now Time) bool {
 	if h.storedListNumber == h.listNumber || len(h.waiting) == 0 {
 		return false
@@ -212,12 +212,13 @@
 	h.waiting = waiting
 }
 
+// reply answers a command with a formatted text.
 func (h *SuspendedHosts) reply(w *waitingCommand, format string, args ...any) {
 	h.owner.Reply(w.from, w.tag, []byte(fmt.Sprintf(format, args...)))
 }
 
 // membersWithout returns the number of members, and the sorted names of those that have not
-// acknowledged the list with a number or a later one.
+// acknowledged the list with this number or a later one.
 func (h *SuspendedHosts) membersWithout(number uint64) (total int, names []string) {
 	for _, m := range h.owner.Members() {
 		total++
--- a/internal/fleet/jobs/suspendedhosts_test.go
+++ b/internal/fleet/jobs/suspendedhosts_test.go
@@ -90,7 +90,7 @@
 		tag := uint64(i + 1)
 		g.command(tag, SuspendCommand(true, fmt.Sprintf("host%03d", i)))
 		if rejected := strings.HasPrefix(g.answers[tag], "refused"); rejected != (i == MaxSuspendedHosts) {
-			t.Errorf("suspend host %d of at most %d: answer %q, refused %t", i+1, MaxSuspendedHosts, g.answers[tag], rejected)
+			t.Errorf("suspend host %d of at most %d: answer %q, refused %t, want %t", i+1, MaxSuspendedHosts, g.answers[tag], rejected, !rejected)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 func TestUnsortedListIsRejected(t *testing.T) {
 	h := &SuspendedHosts{}
 	if err := h.Start(0, newFakeGroup(1), 1, 1, []byte{2, 1, 'b', 1, 'a'}); err == nil {
-		t.Error("Start accepted a checkpoint with an unsorted list")
+		t.Error("Start accepted a checkpoint with the unsorted list [b a], want an error")
 	}
 }
 
--- a/internal/fleet/jobs/tokenbucket.go
+++ b/internal/fleet/jobs/tokenbucket.go
@@ -1,9 +1,9 @@
 package jobs
 
-// TokenBucket limits what an owner grants to a rate.
+// TokenBucket limits the rate at which an owner grants something.
 type TokenBucket struct {
-	Tokens   float64
-	FilledAt Time // when Fill last added tokens; none are added for the time before it
+	Tokens   float64 // available tokens
+	FilledAt Time    // when Fill last added tokens; none are added for the time before it
 }
 
 // bucketDepthDivisor divides the rate per second to yield the capacity of a bucket: the tokens of a
@@ -16,8 +16,8 @@
 	if now <= b.FilledAt {
 		return
 	}
-	part := 1 - float64(silent)/float64(max(1, fleetSize))
-	b.Tokens = min(b.Tokens+rate*part*float64(now-b.FilledAt)/float64(sec), max(1, rate/bucketDepthDivisor))
+	fraction := 1 - float64(silent)/float64(max(1, fleetSize))
+	b.Tokens = min(b.Tokens+rate*fraction*float64(now-b.FilledAt)/float64(sec), max(1, rate/bucketDepthDivisor))
 	b.FilledAt = now
 }
 
--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -33,15 +33,18 @@
 	// it has no reply.
 	queryRetryInterval = 200 * time.Millisecond
 
+	// rulesOff is the reply to commands about rules while rules are off.
 	rulesOff = "refused: (owners (rules on)) is not set"
 )
 
-// Replies to requests that were not carried out, or whose result is unknown.
+// Replies to requests that were not carried out, or whose result is unknown. Their texts must not
+// change.
 var (
 	replyBusy    = Reply{Error: "this proxy is too busy, or its disk hangs: ask again"}
 	replyUnknown = Reply{Error: "unknown: no owner has answered; what was asked may or may not have been done. Ask again: twice is as once"}
 )
 
+// serveRequest serves a request with the handler of its command. It does not run on the worker.
 func (a *Agent) serveRequest(request Request) Reply {
 	command, known := adminCommands[request.Command]
 	if !known {
@@ -54,7 +57,7 @@
 // requestTimeout. If not, f may still run later.
 func (a *Agent) runOnWorker(f func()) bool { return a.worker.call(f, requestTimeout) }
 
-// adminReport serves owners and status.
+// adminReport serves the commands owners and status.
 func (a *Agent) adminReport(Request) (reply Reply) {
 	if !a.runOnWorker(func() { a.fillReport(&reply) }) {
 		return replyBusy
@@ -81,7 +84,7 @@
 	return reply
 }
 
-// adminExplain explains how this process's rules decide a request.
+// adminExplain serves the command explain: it explains how this process's rules decide a request.
 func (a *Agent) adminExplain(request Request) Reply {
 	if a.rules.enforcer == nil || request.Explain == nil {
 		return Reply{Error: rulesOff}
@@ -89,8 +92,8 @@
 	return Reply{Answer: a.rules.enforcer.Explain(*request.Explain)}
 }
 
-// adminMoveJob asks the coordinator to hand a job over to another member. A reply that is not empty
-// contains the reason of its refusal.
+// adminMoveJob asks the coordinator to hand a job over to another member. An answer that is not
+// empty is the reason for which the coordinator refuses.
 func (a *Agent) adminMoveJob(request Request) Reply {
 	answer, failed := a.queryAndWait(func(tag uint64) { a.core.MoveJob(a.now(), request.Argument, request.SecondArgument, tag) }, nil)
 	switch {
@@ -102,7 +105,8 @@
 	return Reply{Answer: "its owner is asked for it"}
 }
 
-// adminSuspendedHosts sends suspend, resume and list to the owner of the job of suspended hosts.
+// adminSuspendedHosts sends the commands suspend, resume and list to the owner of the job that keeps
+// the list of suspended hosts.
 func (a *Agent) adminSuspendedHosts(request Request) Reply {
 	command := jobs.SuspendCommand(request.Command == "suspend", request.Argument)
 	if request.Command == "list" {
@@ -178,6 +182,7 @@
 	}
 }
 
+// errNotVoter is returned for changes of the voters by a process without a voter on disk.
 var errNotVoter = errors.New("this proxy is no voter with a disk: ask one")
 
 // adminChangeVoters asks the group to add, promote or remove a voter. The reply does not wait for
--- a/internal/fleet/owneragent/adminsocket.go
+++ b/internal/fleet/owneragent/adminsocket.go
@@ -16,8 +16,8 @@
 	Argument       string `json:"a,omitempty"` // first argument of the command
 	SecondArgument string `json:"b,omitempty"` // second argument of the command
 
-	Rules   []byte             `json:"rules,omitempty"`   // rules: the query to the publisher of rules
-	Explain *namespace.Request `json:"explain,omitempty"` // explain: the request to explain
+	Rules   []byte             `json:"rules,omitempty"`   // query to the publisher of rules, for the command rules
+	Explain *namespace.Request `json:"explain,omitempty"` // request to explain, for the command explain
 }
 
 const (
@@ -66,6 +66,7 @@
 	}
 }
 
+// serve reads one request from a connection, writes the reply and closes the connection.
 func (s *adminSocket) serve(conn net.Conn) {
 	defer func() { <-s.connectionLimit }()
 	defer conn.Close()
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -24,7 +24,7 @@
 type Agent struct {
 	options     Options
 	name        string
-	incarnation uint64 // of ownership and fragments: start time in Unix milliseconds, without membership's counter
+	incarnation uint64 // for ownership and fragment: start time in Unix milliseconds, without membership's counter
 	startedAt   time.Time
 	loop        *netio.Loop
 	members     *memberagent.Agent
--- a/internal/fleet/owneragent/harness_test.go
+++ b/internal/fleet/owneragent/harness_test.go
@@ -25,6 +25,7 @@
 	return nil
 }
 
+// openTestVoter implements OpenVoter for tests.
 func openTestVoter(o VoterOptions) (Voter, *group.StoreError) {
 	store, err := disk.Open(filepath.Join(o.Dir, "voter.db"), o.MaxBytes)
 	if err != nil {
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// step calls Step of each job that this process owns. Lease: it is checked before each job, since
-// the previous job may have taken long.
+// step calls Step of each job that this process owns. It checks the lease before each job, since the
+// step of the previous job may have taken long.
 func (r *jobRunner) step(now int64) {
 	for _, name := range r.names {
 		if token, owns := r.owned[name]; owns && r.agent.core.IsOwner(now, name, token) {
--- a/internal/fleet/owneragent/migrations.go
+++ b/internal/fleet/owneragent/migrations.go
@@ -13,7 +13,7 @@
 
 // RequestMigrations requests permits to migrate up to want clients now. It calls done on the loop
 // with the number allowed, or at once with want if the rate of migrations is not limited. done is
-// never called if the worker's inbox is full.
+// never called if the worker's inbox is full or the agent has stopped.
 func (a *Agent) RequestMigrations(want int, done func(allowed int)) {
 	if a == nil || a.migrationPacer == nil {
 		done(want)
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -66,7 +66,7 @@
 }
 
 // Check returns an error if the section lacks something that it depends on: membership, whose
-// section is member, the directory of the store, or a program with voters on disk.
+// section is member, the directory of the store, or voters on disk in this program.
 func (o Options) Check(member memberagent.Options) error {
 	if !o.Enabled {
 		return nil
--- a/internal/fleet/owneragent/queries_test.go
+++ b/internal/fleet/owneragent/queries_test.go
@@ -24,7 +24,7 @@
 		q.replyReceived(tag, []byte("yes"))
 	}
 	if len(got) != 2 || got[0] != 107 || got[1] != 7 || <-answers != "yes" || len(answers) > 0 || q.isOperatorWaiting(tag) {
-		t.Errorf("replies to sources %v, want [107 7]; operator still waiting %t, want an answer yes", got, q.isOperatorWaiting(tag))
+		t.Errorf("replies to sources %v, want [107 7]; operator still waiting %t, want false; or the answers are not one \"yes\"", got, q.isOperatorWaiting(tag))
 	}
 }
 
--- a/internal/fleet/owneragent/quota.go
+++ b/internal/fleet/owneragent/quota.go
@@ -19,7 +19,7 @@
 // rules, so that it is off without rules.
 type quotaState struct {
 	client    *quota.Client // nil if it is off
-	steppedAt int64         // when the client last stepped
+	steppedAt int64         // when the client last stepped, in nanoseconds of Agent.now
 }
 
 // tick steps the client four times in each grantLifetime, so that its grants do not lapse.
--- a/internal/fleet/owneragent/recorded_test.go
+++ b/internal/fleet/owneragent/recorded_test.go
@@ -10,7 +10,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedReplies checks the JSON of requests and replies at the admin socket.
+// TestRecordedReplies checks that the JSON of requests and replies at the admin socket is the same as
+// when the golden file was recorded.
 func TestRecordedReplies(t *testing.T) {
 	var lines bytes.Buffer
 	for _, v := range []any{
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -42,7 +42,7 @@
 	Voters      []string // names of the initial voters
 	Dir         string   // directory of the store
 	MaxBytes    int64    // maximum size of the store in bytes
-	Seed        uint64   // of the voter's random numbers
+	Seed        uint64   // seed of the voter's random numbers
 	Machines    map[byte]group.Machine
 	Effects     group.Effects
 }
@@ -88,6 +88,7 @@
 	}
 }
 
+// openQuorum opens a voter that keeps its state in memory.
 func (r *replica) openQuorum(seed uint64, machines map[byte]group.Machine) {
 	cfg := ownership.QuorumConfig{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Seed: seed, WallClockAtStart: time.Now().UnixMilli()/10 - clockOrigin,
 		Faults: Faults.Ownership}
@@ -99,6 +100,7 @@
 	r.group = quorum
 }
 
+// openVoter opens a replica on disk.
 func (r *replica) openVoter(seed uint64, machines map[byte]group.Machine) {
 	if OpenVoter == nil {
 		r.recordFailure(&group.StoreError{Err: ErrDiskVotersUnsupported})
@@ -128,6 +130,7 @@
 	return true
 }
 
+// close closes the store of a replica on disk.
 func (r *replica) close() {
 	if r.voter != nil {
 		r.voter.Close()
@@ -159,6 +162,7 @@
 	return true
 }
 
+// logReopened logs that the store is open again, if the last attempt succeeded.
 func (r *replica) logReopened() {
 	if r.failure == "" {
 		slog.Info("store_reopened", "dir", r.options.Dir)
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Reply is the answer to a Request. Most commands set Error or Answer. Commands owners and status
-// set the other fields.
+// Reply is the answer to a Request. Most commands set Error or Answer. The commands owners and
+// status set the other fields.
 type Reply struct {
 	Error         string            `json:"error,omitempty"`
 	Answer        string            `json:"answer,omitempty"`
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -18,6 +18,7 @@
 	MaxEntries    int           // maximum entries of a version that this proxy accepts; default rules.MaxEntries
 }
 
+// bind sets the defaults and declares the fields in the section.
 func (r *RulesOptions) bind(f *settings.FieldSet) {
 	*r = RulesOptions{LeaseDuration: 3 * time.Second, OnLeaseLapse: "refuse", MaxEntries: rules.MaxEntries}
 	f.Bool("rules", "whether requests are judged by rules that all proxies agree on: croftlock rules put FILE", &r.Enabled)
@@ -36,6 +37,7 @@
 	onChanged func() // called on the worker when this process acts by another version; may be nil
 }
 
+// tick steps the member, unless rules are off.
 func (r *rulesState) tick(now int64) {
 	if r.member != nil {
 		r.member.Step(now)
--- a/internal/fleet/owneragent/transport.go
+++ b/internal/fleet/owneragent/transport.go
@@ -58,8 +58,8 @@
 }
 
 // DeliverMessage handles a complete message. It logs a rejected message only if it is the first one
-// that MalformedMessages counts. Since receiveDatagram counts without logging, no rejection may be
-// logged at all.
+// that MalformedMessages counts. Since receiveDatagram also counts, but without logging, it may
+// happen that no rejection is ever logged.
 func (t transportEffects) DeliverMessage(peer uint32, data []byte) {
 	if len(data) == 0 {
 		return
--- a/internal/fleet/owneragent/worker.go
+++ b/internal/fleet/owneragent/worker.go
@@ -13,8 +13,8 @@
 	stopTimeout = 300 * time.Millisecond
 )
 
-// worker runs functions of its inbox on a goroutine of its own, since they may wait for a disk,
-// which the event loop must not. Start starts the goroutine, and stop ends it.
+// worker runs the functions of its inbox on a separate goroutine, since they may wait for a disk,
+// which the event loop must not do. Start starts the goroutine, and stop ends it.
 type worker struct {
 	inbox    chan func()
 	quit     chan struct{} // closed by stop
--- a/internal/fleet/owneragent/worker_test.go
+++ b/internal/fleet/owneragent/worker_test.go
@@ -13,13 +13,13 @@
 	go w.run(func() { opened = true }, func() { ticked <- struct{}{} }, func() { closed = true })
 	ran := false
 	if !w.call(func() { ran = true }, 10*time.Second) || !ran || !opened {
-		t.Error("the first call failed, did not run, or ran before open")
+		t.Errorf("the first call failed, did not run, or ran before open: ran %t, opened %t, want true for both", ran, opened)
 	}
 	<-ticked
 	w.stop()
 	w.stop()
 	if !closed || !w.stopping() || w.call(func() {}, 10*time.Second) {
-		t.Error("the stopped worker was not closed, does not report that it is stopping, or ran a call")
+		t.Errorf("after stop: closed %t, stopping() = %t, want true for both; or a call returned true, want false", closed, w.stopping())
 	}
 }
 
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -29,7 +29,7 @@
 	Broadcast string   // address that reaches every proxy of the tier; empty if there is none
 }
 
-// invalidReason states in the log why a message is not sent.
+// invalidReason is the reason, as logged, why a datagram is not sent.
 type invalidReason string
 
 const (
@@ -43,14 +43,15 @@
 	peers      []netip.AddrPort // by number
 	broadcast  netip.AddrPort   // reaches every proxy; invalid if there is no such address
 	ownNumber  int              // number of this proxy among the peers; -1 if the link has no numbered peers
-	readLoop   func()
-	dropped    atomic.Int64
-	sendFailed bool // whether a failure to send was logged
+	readLoop   func()           // reads datagrams until Close or StopReceiving is called
+	dropped    atomic.Int64     // see Dropped
+	sendFailed bool             // whether a failure to send was logged
 }
 
-// Open returns a Link that exchanges datagrams with the peers in a. It listens on a.Listen, or, if
-// fd is not negative, uses the socket fd that another process handed over. After StartReceiving,
-// receive is called on the loop for each datagram from a known peer, with the number of that peer.
+// Open returns a Link that exchanges datagrams with the peers in a, among which this proxy has the
+// number ownNumber. It listens on a.Listen, or, if fd is not negative, uses the socket fd that
+// another process handed over. After StartReceiving, receive is called on the loop for each
+// datagram from a known peer, with the number of that peer.
 func Open(loop *netio.Loop, a Addresses, ownNumber, fd int, receive func(from int, data []byte)) (*Link, error) {
 	l := &Link{ownNumber: ownNumber}
 	numbers := map[netip.AddrPort]int{}
@@ -100,6 +101,7 @@
 	return l, nil
 }
 
+// parseAddress parses an IP address with a port. name identifies the address in the error.
 func parseAddress(name, text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -108,11 +110,11 @@
 	return address, nil
 }
 
-// bind opens a socket on the own address, or, if fd is not negative, uses the socket fd that
+// bind opens a socket on the address listen, or, if fd is not negative, uses the socket fd that
 // another process handed over in a hot restart.
-func bind(own netip.AddrPort, fd int) (*net.UDPConn, error) {
+func bind(listen netip.AddrPort, fd int) (*net.UDPConn, error) {
 	if fd < 0 {
-		return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(own))
+		return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	}
 	file := os.NewFile(uintptr(fd), "peers")
 	defer file.Close()
@@ -128,7 +130,7 @@
 	return conn, nil
 }
 
-// StartReceiving starts to receive datagrams. Sending is possible before.
+// StartReceiving starts to receive datagrams. Datagrams can be sent before that.
 func (l *Link) StartReceiving() {
 	l.conn.SetReadDeadline(time.Time{})
 	go l.readLoop()
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -9,6 +9,7 @@
 	"croftlock/internal/dataplane/netio"
 )
 
+// received is a datagram that a link received, with the number of the peer that sent it.
 type received struct {
 	from int
 	data []byte
@@ -47,6 +48,7 @@
 	return links, channels
 }
 
+// receiveNext waits up to 10 s for a datagram and returns it.
 func receiveNext(t *testing.T, ch chan received) received {
 	t.Helper()
 	select {
@@ -63,13 +65,13 @@
 func TestSendToOneAndAll(t *testing.T) {
 	links, channels := openLinks(t, 4)
 	links[1].SendToPeer(3, []byte("one"))
-	if h := receiveNext(t, channels[3]); h.from != 1 || string(h.data) != "one" {
-		t.Fatalf("peer 3 received %q from peer %d, want \"one\" from peer 1", h.data, h.from)
+	if r := receiveNext(t, channels[3]); r.from != 1 || string(r.data) != "one" {
+		t.Fatalf("peer 3 received %q from peer %d, want \"one\" from peer 1", r.data, r.from)
 	}
 	links[2].SendToPeer(-1, []byte("all"))
 	for _, i := range []int{0, 1, 3} {
-		if h := receiveNext(t, channels[i]); h.from != 2 || string(h.data) != "all" {
-			t.Fatalf("peer %d received %q from peer %d, want \"all\" from peer 2", i, h.data, h.from)
+		if r := receiveNext(t, channels[i]); r.from != 2 || string(r.data) != "all" {
+			t.Fatalf("peer %d received %q from peer %d, want \"all\" from peer 2", i, r.data, r.from)
 		}
 	}
 	if len(channels[2]) > 0 {
@@ -99,8 +101,8 @@
 	links[1].SendToPeer(7, []byte("nobody"))
 	links[1].SendToPeer(0, nil)
 	links[1].SendToPeer(0, bytes.Repeat([]byte("z"), MaxDatagramBytes))
-	if h := receiveNext(t, channels[0]); len(h.data) != MaxDatagramBytes || h.data[0] != 'z' {
-		t.Fatalf("received %q, want %d bytes of \"z\"", h.data, MaxDatagramBytes)
+	if r := receiveNext(t, channels[0]); len(r.data) != MaxDatagramBytes || r.data[0] != 'z' {
+		t.Fatalf("received %q, want %d bytes of \"z\"", r.data, MaxDatagramBytes)
 	}
 }
 
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -28,6 +28,7 @@
 	return nil
 }
 
+// storeError returns err with what package disk reports about a retry.
 func storeError(err error) *group.StoreError {
 	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), Retryable: disk.Recoverable(err)}
 }
