--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -11,6 +11,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
+// maxNameBytes is the maximum length of the names of group and process.
 const maxNameBytes = 64
 
 // extent describes how much a file contains. See saveExtent.
--- a/internal/fleet/consensus/disk/record.go
+++ b/internal/fleet/consensus/disk/record.go
@@ -26,6 +26,7 @@
 	return slices.Clone(stored[checksumBytes:]), nil
 }
 
+// checksum returns the xxHash64 of key and data.
 func checksum(key, data []byte) uint64 {
 	var h xxhash.Digest
 	h.Reset()
--- a/internal/fleet/consensus/message.go
+++ b/internal/fleet/consensus/message.go
@@ -101,6 +101,8 @@
 	return append(w.Data, data...), nil
 }
 
+// decodeRaft decodes what encodeRaft encoded. It returns ErrInvalidRaftMessage if the message is of
+// another group or truncated, or the raft library's error.
 func decodeRaft(r encoding.Reader, group string) (m raftpb.Message, err error) {
 	if r.Text(maxNameBytes) != group || r.Err() != nil {
 		return m, ErrInvalidRaftMessage
@@ -142,6 +144,7 @@
 	return w.Uint(x.tag).Text(x.name).Data
 }
 
+// decodeChangeContext decodes a context. Fields that can't be decoded are zero.
 func decodeChangeContext(data []byte) changeContext {
 	r := encoding.Reader{Data: data}
 	return changeContext{tag: r.Uint(), name: r.Text(maxNameBytes)}
--- a/internal/fleet/consensus/snapshot.go
+++ b/internal/fleet/consensus/snapshot.go
@@ -10,6 +10,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
+// snapshotVersion is the version of the encoding of snapshots, which begins with it.
 const snapshotVersion = 1
 
 // appliedLog records how far the log has been applied.
@@ -18,6 +19,7 @@
 	snapshotIndex uint64 // index of the last entry that the stored snapshot covers
 }
 
+// reset sets the state to that after a snapshot was stored or restored.
 func (a *appliedLog) reset(m raftpb.SnapshotMetadata) {
 	a.index, a.term, a.snapshotIndex = m.Index, m.Term, m.Index
 }
--- a/internal/fleet/fragment/message.go
+++ b/internal/fleet/fragment/message.go
@@ -29,6 +29,7 @@
 	body         []byte // of the same length in all pieces but the last
 }
 
+// append appends the datagram with the piece to b.
 func (p piece) append(b []byte) []byte {
 	b = append(b, DatagramPrefix, kindPiece)
 	b = binary.BigEndian.AppendUint32(b, p.message.incarnation)
@@ -62,6 +63,7 @@
 	bitmap  bitmap // the pieces that have arrived; empty if all have
 }
 
+// append appends the datagram with the ack to b.
 func (a ack) append(b []byte) []byte {
 	b = append(b, DatagramPrefix, kindAck)
 	b = binary.BigEndian.AppendUint32(b, a.message.incarnation)
@@ -81,6 +83,7 @@
 // bitmap has a bit for each piece, starting with the lowest bit of each byte.
 type bitmap []byte
 
+// newBitmap returns a bitmap in which the bits of the received pieces are set.
 func newBitmap(received []bool) bitmap {
 	b := make(bitmap, (len(received)+7)/8)
 	for i, r := range received {
--- a/internal/fleet/jobs/suspendcommand.go
+++ b/internal/fleet/jobs/suspendcommand.go
@@ -41,6 +41,8 @@
 	return w.Uint(uint64(c.kind)).Text(c.host).Data
 }
 
+// decodeHostCommand decodes a command. It returns errInvalidCommand if the kind is unknown or the
+// host is missing, too long or given with a commandList.
 func decodeHostCommand(data []byte) (hostCommand, error) {
 	r := encoding.Reader{Data: data}
 	c := hostCommand{kind: commandKind(r.Uint()), host: r.Text(maxHostIDBytes)}
--- a/internal/fleet/owneragent/queries.go
+++ b/internal/fleet/owneragent/queries.go
@@ -23,6 +23,7 @@
 	return &queries{agent: a, operatorAnswers: map[uint64]chan<- string{}}
 }
 
+// nextTag returns a tag that this process has not used before.
 func (q *queries) nextTag() uint64 {
 	q.lastTag++
 	return q.lastTag
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -65,6 +65,7 @@
 	}
 }
 
+// newJobRow returns the row of a job for the report.
 func newJobRow(row *ownership.JobRecord) JobRow {
 	return JobRow{Job: row.Job, Owner: row.Owner, Token: row.Token, CheckpointNumber: row.CheckpointNumber, CheckpointBytes: len(row.Checkpoint),
 		ChangedAt: time.UnixMilli(row.ChangedAt).UTC().Format(time.RFC3339), Reason: row.Reason}
