--- a/internal/fleet/namespace/assignment.go
+++ b/internal/fleet/namespace/assignment.go
@@ -22,6 +22,7 @@
 // reservations is the sum of what an account's children reserve.
 type reservations struct{ rate, connections uint64 }
 
+// compileAssignment checks and compiles pools and accounts. The error is a *ValidationError.
 func compileAssignment(pools []Pool, accounts []Account) (*assignment, error) {
 	a := &assignment{
 		poolOfHost:      map[string]string{},
@@ -54,6 +55,7 @@
 	return a, nil
 }
 
+// addPool adds a pool. It rejects a value that is empty, too long or already in a pool.
 func (a *assignment) addPool(p *Pool) error {
 	a.pools[p.Name] = true
 	for _, by := range []struct {
@@ -74,6 +76,7 @@
 	return nil
 }
 
+// sortPrefixLengths sets prefixLengths from the added pools.
 func (a *assignment) sortPrefixLengths() {
 	for p := range a.poolOfPrefix {
 		a.prefixLengths = append(a.prefixLengths, len(p))
@@ -107,12 +110,13 @@
 	return nil
 }
 
+// accountError returns a *ValidationError for an account.
 func accountError(a *Account, format string, args ...any) error {
 	return &ValidationError{Account: a.Name, Text: fmt.Sprintf(format, args...)}
 }
 
-// restrictTenants moves a child's tenants from its parent to the child, and rejects a tenant that
-// belongs to any other account.
+// restrictTenants moves a child's tenants from its parent to the child. It rejects a tenant that does
+// not belong to the parent; a tenant of a top-level account must not belong to any account.
 func (a *assignment) restrictTenants(account, parent *Account) error {
 	for _, t := range account.Tenants {
 		owner, owned := a.accountOfTenant[t]
@@ -206,6 +210,7 @@
 	return nil
 }
 
+// checkGrants returns an error unless an account's grants are valid, sorted and unique.
 func checkGrants(account *Account) error {
 	for i, g := range account.Grants {
 		if !validName(g.Label) || i > 0 && account.Grants[i-1].Label >= g.Label {
--- a/internal/fleet/namespace/compile.go
+++ b/internal/fleet/namespace/compile.go
@@ -18,7 +18,7 @@
 // compiledAccount is an account with the namespaces that apply to it, the operators' first.
 type compiledAccount struct {
 	name         string
-	hash         uint64
+	hash         uint64 // of the name
 	settings     *Account
 	chain        []*compiledNamespace
 	defaultRoute *compiledRoute // applies if no route matches
--- a/internal/fleet/namespace/explain.go
+++ b/internal/fleet/namespace/explain.go
@@ -51,20 +51,20 @@
 // explainNearMatches writes the routes that match but do not decide, and those that miss a single
 // condition.
 func (a *compiledAccount) explainNearMatches(b *strings.Builder, q Request, v Verdict) {
-	k, share, named := q.matchKey(), a.share(q.Key), 0
+	k, share, listed := q.matchKey(), a.share(q.Key), 0
 	explain := func(x *routeIndex, list string) {
 		for i := range x.routes {
 			r := &x.routes[i]
-			if named == maxNearMatches || r.account == v.RouteAccount && r.Name == v.Route {
+			if listed == maxNearMatches || r.account == v.RouteAccount && r.Name == v.Route {
 				continue
 			}
 			switch unmet := r.unmetConditions(k, share, q.Minute); len(unmet) {
 			case 0:
 				fmt.Fprintf(b, "fits too: %s %s (%s)\n", list, QualifiedName(r.account, r.Name), r.Describe())
-				named++
+				listed++
 			case 1:
 				fmt.Fprintf(b, "nearly: %s %s (%s), but for its %s\n", list, QualifiedName(r.account, r.Name), r.Describe(), unmet[0])
-				named++
+				listed++
 			}
 		}
 	}
--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -37,6 +37,7 @@
 
 func (r *Route) matchKey() matchKey { return matchKey{r.Group, r.Prefix, r.Class, r.Zone} }
 
+// conditions returns which conditions a route with this key has.
 func (k matchKey) conditions() conditionSet {
 	return conditionSet{group: k.group != "", class: k.class != "", zone: k.zone != "", prefixBytes: uint8(len(k.prefix))}
 }
@@ -91,6 +92,7 @@
 	return n
 }
 
+// compileRoute returns an account's route with the values that are derived from it.
 func compileRoute(account string, r *Route) compiledRoute {
 	c := compiledRoute{Route: r, account: account, key: r.matchKey(), retryAfter: time.Duration(r.RetryAfterMillis) * time.Millisecond}
 	if !r.Refuse {
--- a/internal/fleet/namespace/isolation_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -59,6 +59,7 @@
 	return ""
 }
 
+// generateNamespace returns a namespace of an account with random routes, which may be invalid.
 func generateNamespace(rt *rapid.T, account string) Namespace {
 	s := Namespace{Account: account}
 	for i := range rapid.IntRange(0, 6).Draw(rt, "routes") {
@@ -76,6 +77,7 @@
 	return s
 }
 
+// generateRequest returns a request with random attributes.
 func generateRequest(rt *rapid.T) Request {
 	oneOf := func(values ...string) string { return rapid.SampledFrom(values).Draw(rt, "q") }
 	return Request{Tenant: oneOf("t1", "t2", "t3", "no"), Class: oneOf("c", "d", "e"), Key: oneOf("", "a", "ab", "abc", "b", "bc", "z"), Group: oneOf("", "g", "h", "i"), Zone: oneOf("y", "z"),
@@ -85,13 +87,13 @@
 // The index finds the same route as a scan of all routes, and the verdicts for an account do not
 // depend on other customers' namespaces.
 func TestNamespacesAreIsolated(t *testing.T) {
-	drawn, valid := 0, 0
+	generated, valid := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		directory := &Directory{Accounts: customers.Accounts, Pools: customers.Pools}
 		for _, a := range []string{"", "acme", "acme/web", "other"} {
 			directory.Namespaces = append(directory.Namespaces, generateNamespace(rt, a))
 		}
-		drawn++
+		generated++
 		c, err := Compile(directory)
 		if err != nil {
 			return
@@ -118,7 +120,7 @@
 			}
 		}
 	})
-	if valid*5 < drawn {
-		t.Errorf("%d of %d generated directories are valid, want at least one in five", valid, drawn)
+	if valid*5 < generated {
+		t.Errorf("%d of %d generated directories are valid, want at least one in five", valid, generated)
 	}
 }
--- a/internal/fleet/namespace/namespace.go
+++ b/internal/fleet/namespace/namespace.go
@@ -66,7 +66,7 @@
 	Rate          Limit    `cbor:"5,keyasint,omitempty"`  // new connections per second, fleet-wide
 	Connections   Limit    `cbor:"6,keyasint,omitempty"`  // open connections, fleet-wide
 	Routes        uint32   `cbor:"7,keyasint,omitempty"`  // most routes of its namespace; 0 means the parent's limit
-	Changes       uint32   `cbor:"8,keyasint,omitempty"`  // most changes of its namespace per minute; 0 means the parent's limit
+	Changes       uint32   `cbor:"8,keyasint,omitempty"`  // most changes of it and its namespace per minute and key; 0 means the parent's limit
 	Grants        []Grant  `cbor:"9,keyasint,omitempty"`  // sorted by label
 	VersionNumber uint64   `cbor:"10,keyasint,omitempty"` // rules version that last changed the account
 }
@@ -75,7 +75,7 @@
 // of an account together reserve no more than the account has reserved, and no child's bound
 // exceeds its parent's.
 type Limit struct {
-	Max      uint32 `cbor:"1,keyasint,omitempty"` // 0 means the parent's bound
+	Max      uint32 `cbor:"1,keyasint,omitempty"` // 0 means the parent's bound, and no bound at a top-level account
 	Reserved uint32 `cbor:"2,keyasint,omitempty"`
 }
 
@@ -103,18 +103,18 @@
 type ValidationError struct {
 	Account string // empty for the operators
 	Route   string // empty if an account or a pool is invalid
-	Text    string
+	Text    string // why it is invalid
 }
 
 // Error returns the place and the reason.
-func (f *ValidationError) Error() string {
+func (e *ValidationError) Error() string {
 	switch {
-	case f.Route != "":
-		return fmt.Sprintf("namespace: %s: %s", QualifiedName(f.Account, f.Route), f.Text)
-	case f.Account != "":
-		return fmt.Sprintf("namespace: account %s: %s", f.Account, f.Text)
+	case e.Route != "":
+		return fmt.Sprintf("namespace: %s: %s", QualifiedName(e.Account, e.Route), e.Text)
+	case e.Account != "":
+		return fmt.Sprintf("namespace: account %s: %s", e.Account, e.Text)
 	}
-	return "namespace: " + f.Text
+	return "namespace: " + e.Text
 }
 
 // QualifiedName returns a route's name prefixed with its account's name, or with "operators" if
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -9,15 +9,18 @@
 	"croftlock/internal/operations/settings"
 )
 
+// mustCompile compiles a directory and fails the test if the directory is invalid.
 func mustCompile(t testing.TB, directory *Directory) *Compiled {
 	t.Helper()
 	c, err := Compile(directory)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Compile of a directory with %d pools, %d accounts and %d namespaces: %v", len(directory.Pools), len(directory.Accounts), len(directory.Namespaces), err)
 	}
 	return c
 }
 
+// customers is a directory with two pools, two customers, one of which has a team, and routes at each
+// level.
 var customers = &Directory{
 	Pools: []Pool{{Name: "fast", Kinds: []string{"m2"}}, {Name: "kept", Hosts: []string{"s-1"}, Prefixes: []string{"s-", "s-9"}}},
 	Accounts: []Account{{Name: "acme", Tenants: []string{"t1", "t2"}, Pools: []string{"fast", MainPool}, Rate: Limit{100, 60}}, {Name: "acme/web", Tenants: []string{"t2"}, Rate: Limit{50, 30}},
@@ -163,7 +166,7 @@
 	}
 	f, err := settings.Schema{Section()}.Read("a", []byte(`(namespace (account "acme/web") (guard n (begin 22:00) (end 06:00) (refuse on) (advice 2s)) (default d (share 12.5%) (pool fast) (else "main")))`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Read of a valid namespace: %v", err)
 	}
 	if s := f.Value("namespace").(*Namespace); s.Guards[0].WindowBegin != 1320 || s.Guards[0].RetryAfterMillis != 2000 || s.Defaults[0].ShareTo != 1250 || s.Defaults[0].Fallbacks[0] != MainPool {
 		t.Fatalf("namespace = %+v, want guard n from minute 1320 with a Retry-After of 2000 ms, and default d with a share to 1250 and the fallback main", s)
--- a/internal/fleet/namespace/settings.go
+++ b/internal/fleet/namespace/settings.go
@@ -42,7 +42,7 @@
 // BindRoutes registers the three lists of routes of a namespace, and reports an invalid route at
 // its place in the file.
 func BindRoutes(f *settings.FieldSet, s *Namespace) {
-	forms := map[string]*settings.FieldSet{}
+	fieldSets := map[string]*settings.FieldSet{} // by the label of the route
 	for _, list := range []struct {
 		name, doc string
 		routes    *[]Route
@@ -53,12 +53,12 @@
 	} {
 		f.Repeated(list.name, list.doc, func(label string, f *settings.FieldSet) {
 			*list.routes = append(*list.routes, bindRoute(label, f))
-			forms[label] = f
+			fieldSets[label] = f
 		})
 	}
 	var fault *ValidationError
 	if errors.As(CheckNamespace(s), &fault) {
-		location := forms[fault.Route]
+		location := fieldSets[fault.Route]
 		if location == nil {
 			location = f
 		}
@@ -66,6 +66,7 @@
 	}
 }
 
+// bindRoute registers the fields of a route and returns the route that they specify.
 func bindRoute(label string, f *settings.FieldSet) Route {
 	r := Route{Name: label}
 	bindConditions(f, &r)
@@ -81,6 +82,7 @@
 	return r
 }
 
+// bindConditions registers the fields of a route's conditions, and sets them in r.
 func bindConditions(f *settings.FieldSet, r *Route) {
 	f.Text("group", "group of the requests", "a name", &r.Group, isNonEmpty)
 	f.Text("key", "prefix of the flow's key", "1 to 16 letters", &r.Prefix, func(s string) bool { return s != "" && len(s) <= MaxPrefixBytes })
@@ -117,6 +119,7 @@
 	slices.SortFunc(d.Accounts, func(x, y Account) int { return cmp.Compare(x.Name, y.Name) })
 }
 
+// bindPool registers the fields of a pool and returns the pool that they specify.
 func bindPool(name string, f *settings.FieldSet) Pool {
 	p := Pool{Name: name}
 	bindNames(f, "hosts", "hosts by name", &p.Hosts)
@@ -126,6 +129,7 @@
 	return p
 }
 
+// bindAccount registers the fields of an account and returns the account that they specify.
 func bindAccount(name string, f *settings.FieldSet) Account {
 	a := Account{Name: name}
 	bindNames(f, "tenants", "tenants that belong to it", &a.Tenants)
@@ -144,6 +148,8 @@
 	return a
 }
 
+// bindGrant registers the fields of a grant and returns the grant that they specify. The file
+// contains the last day of the grant, Grant.Until the first second after that day.
 func bindGrant(label string, f *settings.FieldSet) Grant {
 	g := Grant{Label: label}
 	f.Text("key", "its Ed25519 public key", "32 bytes in base64", new(string), func(s string) (ok bool) {
@@ -163,6 +169,7 @@
 	return g
 }
 
+// bindCount registers a number from 0 to math.MaxInt32.
 func bindCount(f *settings.FieldSet, name, doc string, to *uint32) {
 	n := int(*to)
 	f.Int(name, doc, &n, 0, math.MaxInt32)
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -27,7 +27,7 @@
 	// SendQuery sends a query to a shard's issuer. The reply is passed to ReplyReceived with the
 	// same tag.
 	SendQuery func(shard int, tag uint64, body []byte)
-	// LimitedAccounts returns all accounts that have limits, sorted by name.
+	// LimitedAccounts returns the names of all accounts that have limits, sorted.
 	LimitedAccounts func() []string
 
 	mutex   sync.Mutex
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -61,6 +61,8 @@
 	f.inFlight = append(f.inFlight, func() { f.clients[to].ReplyReceived(tag, body) })
 }
 
+// newTestFleet returns a fleet of n proxies and new issuers. The seed determines the lost messages
+// and the demand.
 func newTestFleet(n int, seed uint64, limits map[string]Limit) *testFleet {
 	f := &testFleet{now: 100 * second, limits: limits, isolated: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), acquiredAt: map[string][]Time{}, open: map[string]int{}}
 	for i := range n {
@@ -77,6 +79,7 @@
 	return f
 }
 
+// sendQuery delivers a proxy's query to a shard's issuer in the next step, unless it is lost.
 func (f *testFleet) sendQuery(proxy, shard int, tag uint64, body []byte) {
 	f.record("ask", body)
 	if f.isolated[proxy] || f.noIssuer || f.rng.Float64() < f.loss {
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	silentAfterGrantLifetimes    = 2                         // after a proxy's last query, when a share is reserved for it
-	forgottenAfterGrantLifetimes = 4                         // after a proxy's last query, when it is forgotten if it has left the fleet
-	maxIdleAccounts              = 4 * maxAccountsPerMessage // number of accounts at which accounts without limits are dropped
+	silentAfterGrantLifetimes    = 2                         // a proxy that has sent no query for this many grant lifetimes counts as silent
+	forgottenAfterGrantLifetimes = 4                         // a proxy that has left the fleet is forgotten this many grant lifetimes after its last query
+	maxIdleAccounts              = 4 * maxAccountsPerMessage // records of accounts; at this number those of accounts without limits are dropped
 )
 
 // Issuer grants the limits of one shard's accounts to the proxies. It runs at the owner of the
@@ -96,8 +96,8 @@
 }
 
 // availableConnections returns how many more connections can be granted. The share of a proxy that
-// never sent a query is reserved. A silent proxy keeps the larger of its last grant and its share,
-// because it uses its share from then on.
+// never sent a query is reserved. A proxy that is silent (see silentAfterGrantLifetimes) keeps the
+// larger of its last grant and its share, because it uses its share from then on.
 func (s *Issuer) availableConnections(now Time, a *issuedAccount, limit int) int {
 	share := limit / max(1, s.FleetSize)
 	available := limit - max(0, s.FleetSize-len(s.lastQueryAt))*share
@@ -156,8 +156,8 @@
 	return min(d.open+d.additional, uint64(capacity))
 }
 
-// Step forgets proxies that have left the fleet and sent no query for forgottenAfterGrantLifetimes:
-// their connections must have closed by then.
+// Step forgets proxies that have left the fleet and sent no query for forgottenAfterGrantLifetimes,
+// since their connections have closed by then.
 func (s *Issuer) Step(now Time) {
 	if s.owner == nil {
 		return
--- a/internal/fleet/quota/message.go
+++ b/internal/fleet/quota/message.go
@@ -53,11 +53,12 @@
 	return w.Data
 }
 
+// decodeGrants decodes the grants that encodeGrants encoded.
 func decodeGrants(data []byte) ([]grant, error) {
-	lines, err := decodeDemands(data)
-	grants := make([]grant, len(lines))
-	for i, l := range lines {
-		grants[i] = grant{account: l.account, permits: l.permits, maxOpen: l.additional}
+	demands, err := decodeDemands(data)
+	grants := make([]grant, len(demands))
+	for i, d := range demands {
+		grants[i] = grant{account: d.account, permits: d.permits, maxOpen: d.additional}
 	}
 	return grants, err
 }
--- a/internal/fleet/quota/query.go
+++ b/internal/fleet/quota/query.go
@@ -75,6 +75,7 @@
 	c.RetryWaiting()
 }
 
+// receiveGrants records the grants of a reply, unless they have already lapsed.
 func (c *Client) receiveGrants(tag uint64, body []byte) {
 	grants, err := decodeGrants(body)
 	c.mutex.Lock()
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -33,6 +33,8 @@
 	}
 }
 
+// Without an issuer, all proxies together must use the account's whole rate. Once there are new
+// issuers, shares and grants together must stay within the limit and a burst.
 func TestProxyUsesFairShareWithoutIssuer(t *testing.T) {
 	f := newTestFleet(5, 2, map[string]Limit{"a": {Rate: 50, Connections: 100}})
 	all := func(int) float64 { return 1 }
--- a/internal/fleet/quota/usage.go
+++ b/internal/fleet/quota/usage.go
@@ -3,9 +3,9 @@
 // accountUsage holds what this proxy uses of one account, and what it may use.
 type accountUsage struct {
 	permits      []permitBatch // oldest first
-	share        shareBucket
-	open         int // open connections
-	maxOpen      int // open connections that the issuer grants until maxOpenUntil
+	share        shareBucket   // permits while no issuer replies
+	open         int           // open connections
+	maxOpen      int           // open connections that the issuer grants until maxOpenUntil
 	maxOpenUntil Time
 
 	recentDemand   int // recent requests for a connection; halved once per grant lifetime
@@ -74,9 +74,11 @@
 	filledAt Time
 }
 
+// fill adds the permits for the time since the last fill, but not for the time before from.
 func (b *shareBucket) fill(now, from Time, perSecond float64) {
 	b.tokens = min(1, b.tokens+perSecond*float64(now-max(b.filledAt, from))/float64(second))
 	b.filledAt = now
 }
 
+// empty removes the permits.
 func (b *shareBucket) empty(now Time) { b.tokens, b.filledAt = 0, now }
--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -44,8 +44,8 @@
 	return next, next.apply(v, c, history)
 }
 
-// apply changes v, which must be a copy that next returned. base is the active version; v may
-// already contain other changes of the same round.
+// apply applies a change to v, which must be a copy that Version.next returned. base is the active
+// version; v may already contain other changes of the same round.
 func (v *Version) apply(base *Version, c *Change, history versionByNumber) error {
 	var err error
 	switch c.Kind {
@@ -125,16 +125,21 @@
 	return spaces, nil
 }
 
+// findAccount returns the index of an account in the sorted slice all, or the index at which to
+// insert it, and reports whether it exists.
 func findAccount(all []namespace.Account, name string) (int, bool) {
 	return slices.BinarySearchFunc(all, name, func(a namespace.Account, name string) int { return cmp.Compare(a.Name, name) })
 }
 
+// findNamespace returns the index of an account's namespace in the sorted slice all, or the index at
+// which to insert it, and reports whether it exists.
 func findNamespace(all []namespace.Namespace, account string) (int, bool) {
 	return slices.BinarySearchFunc(all, account, func(s namespace.Namespace, account string) int { return cmp.Compare(s.Account, account) })
 }
 
-// removeEntry removes the entry at i, if it exists, and returns the number of the version that last
-// changed the entry, or 0. It overwrites all, which must be a slice that next has copied.
+// removeEntry removes the entry at index i, if it exists, and returns the rest and the number of the
+// version that last changed the entry, or 0. It overwrites all, which must be a slice that
+// Version.next has copied.
 func removeEntry[T any](all []T, i int, exists bool, number func(T) uint64) (rest []T, lastChanged uint64) {
 	if !exists {
 		return all, 0
@@ -167,6 +172,8 @@
 	return nil
 }
 
+// applyAccount replaces or adds an account below another one. Top-level accounts are changed only by
+// KindOperators.
 func (v *Version) applyAccount(base *Version, c *Change) error {
 	var proposed namespace.Account
 	if err := unmarshal(c.Body, &proposed); err != nil {
@@ -205,7 +212,7 @@
 	if c.BaseVersion != base.Number {
 		return checkBase(c.BaseVersion, base.Number, base.Number)
 	}
-	var number uint64
+	var number uint64 // of the version to restore
 	if err := unmarshal(c.Body, &number); err != nil {
 		return err
 	}
--- a/internal/fleet/rules/auditlog.go
+++ b/internal/fleet/rules/auditlog.go
@@ -27,9 +27,10 @@
 	Hash       []byte
 }
 
-// chainedHash returns the entry's hash, which covers the hash of the previous entry.
-func (e AuditEntry) chainedHash(before []byte) []byte {
-	e.Hash = before
+// chainedHash returns the entry's hash. previous is the hash of the previous entry, or nil for the
+// first one.
+func (e AuditEntry) chainedHash(previous []byte) []byte {
+	e.Hash = previous
 	h := sha256.Sum256(marshal(e))
 	return h[:auditHashBytes]
 }
@@ -37,11 +38,11 @@
 // appendEntry returns a copy of the log with another entry. It never changes entries, since other
 // slices may share its array.
 func appendEntry(entries []AuditEntry, e AuditEntry) []AuditEntry {
-	var before []byte
+	var previous []byte
 	if n := len(entries); n > 0 {
-		before = entries[n-1].Hash
+		previous = entries[n-1].Hash
 	}
-	e.Hash = e.chainedHash(before)
+	e.Hash = e.chainedHash(previous)
 	out := append(entries[:len(entries):len(entries)], e)
 	return out[max(0, len(out)-maxAuditEntries):]
 }
@@ -88,14 +89,14 @@
 	l.active = entries
 }
 
-// reject records a rejected change.
+// reject records a rejected change. An empty proposer means that it is not known.
 func (l *auditLog) reject(c *Change, proposer, reason string) {
 	l.rejected = append(l.rejected, fmt.Sprintf("refused  %s  %s: %s", proposer, c.subject(), reason))
 	l.rejected = l.rejected[max(0, len(l.rejected)-maxAuditEntries):]
 }
 
-// text returns the log for administrators, limited to a subject and what is below it. An empty
-// subject means the complete log.
+// text returns the log as text for administrators, limited to the entries whose subject is about or
+// below it. An empty about means the complete log.
 func (l *auditLog) text(about string) string {
 	var b strings.Builder
 	for _, e := range l.active {
--- a/internal/fleet/rules/change.go
+++ b/internal/fleet/rules/change.go
@@ -41,7 +41,7 @@
 	_           struct{} `cbor:",toarray"`
 	ID          []byte   // changes with the same ID are applied once
 	Kind        ChangeKind
-	Account     string // account, or owner of the namespace; empty for KindOperators and KindRollback
+	Account     string // the account, or the owner of the namespace; empty for KindOperators and KindRollback
 	BaseVersion uint64 // number of the version that the change is based on
 	Body        []byte // the encoded new state; the number of the version to restore for KindRollback
 	Key         []byte // the signer's public key; empty for a change by the operators at their own socket
@@ -83,9 +83,9 @@
 	return &Change{ID: id, Kind: KindRemoveAccount, Account: account, BaseVersion: baseVersion}
 }
 
-// NewRollback returns a change that restores all rules from the version with the number to.
-func NewRollback(to, baseVersion uint64, id []byte) *Change {
-	return &Change{ID: id, Kind: KindRollback, BaseVersion: baseVersion, Body: marshal(to)}
+// NewRollback returns a change that restores all rules from the version with a number.
+func NewRollback(number, baseVersion uint64, id []byte) *Change {
+	return &Change{ID: id, Kind: KindRollback, BaseVersion: baseVersion, Body: marshal(number)}
 }
 
 // StaleChangeError is returned if the subject of a change has changed since the base version of the
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -10,10 +10,12 @@
 	"croftlock/internal/fleet/namespace"
 )
 
+// privateKey returns the key of the test administrator with a number.
 func privateKey(n byte) ed25519.PrivateKey {
 	return ed25519.NewKeyFromSeed(bytes.Repeat([]byte{n}, 32))
 }
 
+// publicKey returns the public part of privateKey(n).
 func publicKey(n byte) []byte { return privateKey(n).Public().(ed25519.PublicKey) }
 
 // twoCustomers returns a version with two customers, each with a pool. The grant of acme's
@@ -174,7 +176,7 @@
 	fleet.propose(NewNamespaceChange(namespaceRoutingTo("other", 0, "b"), 2, nil))
 	fleet.run(100 * ms)
 	if rejected != 1000 || !strings.HasPrefix(fleet.lastAnswer(), "active: version 3 at 3 of 3") {
-		t.Fatalf("%d of 1000 invalid changes were rejected, then a valid one got %q", rejected, fleet.lastAnswer())
+		t.Fatalf("%d of 1000 invalid changes were rejected, then a valid one got %q, want all and active version 3 at 3 of 3", rejected, fleet.lastAnswer())
 	}
 	if !strings.Contains(strings.Join(fleet.answers, "\n"), "more changes of namespace acme a minute than it may have") {
 		t.Error("no change was rejected by the rate limit")
@@ -192,7 +194,7 @@
 	}
 	n := len(fleet.answers)
 	fleet.publisher.proposals.waiting = nil
-	fleet.publisher.leases.unknownUntil = fleet.now + 100*ms
+	fleet.publisher.leases.unknownUntil = fleet.now + 100*ms // delays the first change, so that the other two form one round
 	fleet.propose(&Change{ID: []byte("first-one"), Kind: KindOperators, BaseVersion: 2, Body: func() []byte { v := twoCustomers(); v.Number = 3; v.ExcludedHosts = []string{"h"}; return v.Encode() }()})
 	fleet.propose(NewNamespaceChange(big, 2, nil))
 	fleet.propose(NewNamespaceChange(namespaceRoutingTo("other", 0, "b"), 2, nil))
--- a/internal/fleet/rules/checkpoint.go
+++ b/internal/fleet/rules/checkpoint.go
@@ -50,6 +50,8 @@
 	return nil
 }
 
+// decodeCheckpoint decodes a checkpoint, and sets the active and the staged version from it. Absent
+// versions are left as they are.
 func (p *Publisher) decodeCheckpoint(data []byte) (stored checkpoint, err error) {
 	if err := unmarshal(data, &stored); err != nil {
 		return stored, err
--- a/internal/fleet/rules/compression.go
+++ b/internal/fleet/rules/compression.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maxUncompressedBytes = 4 << 10             // not compressed, so that earlier builds can decode it
-	deltaThresholdBytes  = 1 << 10             // not sent as a delta, which would save little
-	maxReplyBytes        = 8 * maxEncodedBytes // of a decompressed reply to an administrator
+	maxUncompressedBytes = 4 << 10             // longest data that is not compressed, so that earlier builds can decode it
+	deltaThresholdBytes  = 1 << 10             // longest encoded version that is never sent as a delta, which would save little
+	maxReplyBytes        = 8 * maxEncodedBytes // longest decompressed reply to an administrator
 )
 
 var errMalformedVersion = errors.New("rules: a version in a form that can't be read")
--- a/internal/fleet/rules/delta.go
+++ b/internal/fleet/rules/delta.go
@@ -21,9 +21,9 @@
 // namespaces as runs, and everything else complete.
 type delta struct {
 	_          struct{} `cbor:",toarray"`
-	BaseHash   []byte
-	ResultHash []byte
-	Head       []byte // the version without accounts and namespaces, encoded
+	BaseHash   []byte   // hash of the base
+	ResultHash []byte   // hash of the version that the delta describes
+	Head       []byte   // the version without accounts and namespaces, encoded
 	Accounts   []run[namespace.Account]
 	Namespaces []run[namespace.Namespace]
 }
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -134,7 +134,7 @@
 	fleet.propose(NewRollback(baseVersion, fleet.publisher.versions.active.Number, nil))
 	fleet.run(4 * leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version ") || !bytes.Equal(marshal(fleet.publisher.versions.active.Directory.Namespaces[3].Routes), marshal(spaces[3].Routes)) {
-		t.Error("the rollback did not restore the routes; its answer is", fleet.lastAnswer())
+		t.Errorf("the rollback to version %d did not restore the routes, or its answer %q is not an active version", baseVersion, fleet.lastAnswer())
 	}
 	fleet.expectOverlapWithin(leaseDuration)
 }
@@ -159,7 +159,7 @@
 		}
 	}
 	if fleet.propose(c); fleet.publisher.versions.active.Directory.Previous == nil || len(fleet.answers) > n {
-		t.Errorf("the transitional version is not active, or a retry during it was answered: %q", fleet.answers[n:])
+		t.Errorf("no transitional version is active after 2 s, or a retry during it got the answers %q, want none", fleet.answers[n:])
 	}
 	fleet.run(4 * leaseDuration)
 	if got := fleet.answers[n:]; len(got) != 1 || !strings.HasPrefix(got[0], fmt.Sprintf("active: version %d at", first+2)) {
--- a/internal/fleet/rules/encoding.go
+++ b/internal/fleet/rules/encoding.go
@@ -33,6 +33,7 @@
 	return m
 })
 
+// marshal returns the deterministic CBOR encoding of x.
 func marshal(x any) []byte {
 	data, err := encodingMode().Marshal(x)
 	if err != nil {
@@ -41,4 +42,5 @@
 	return data
 }
 
+// unmarshal decodes data into the value that into points to.
 func unmarshal(data []byte, into any) error { return decodingMode().Unmarshal(data, into) }
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -50,6 +50,7 @@
 	members      map[uint32]*memberState
 }
 
+// newLeaseTable returns an empty table for a publisher that starts at now.
 func newLeaseTable(now, duration Time) leaseTable {
 	return leaseTable{unknownUntil: PublisherLeaseEnd(now, duration), members: map[uint32]*memberState{}}
 }
@@ -73,6 +74,7 @@
 	return nil
 }
 
+// clearFaults removes the reported faults when another version is staged.
 func (t *leaseTable) clearFaults() {
 	for _, m := range t.members {
 		m.fault = ""
--- a/internal/fleet/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -74,6 +74,7 @@
 // NotificationReceived requests a lease immediately, since the publisher has a new version.
 func (m *Member) NotificationReceived(now Time) { m.requestLease(now) }
 
+// requestLease sends a query that requests a lease and reports the versions of this process.
 func (m *Member) requestLease(now Time) {
 	if m.versions == nil {
 		m.versions = map[Hash]*compiledVersion{}
--- a/internal/fleet/rules/message.go
+++ b/internal/fleet/rules/message.go
@@ -95,6 +95,7 @@
 	return nil, errUnknownQuery
 }
 
+// decodeProposal decodes a proposed change, which is compressed if it is long.
 func decodeProposal(body []byte) (*Change, error) {
 	c := &Change{}
 	body, err := decompress(body)
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -35,6 +35,7 @@
 	return b.String()
 }
 
+// writeOperatorsNamespaces writes the pools, the top-level accounts and the operators' routes.
 func writeOperatorsNamespaces(w io.Writer, directory *namespace.Directory) {
 	for _, p := range directory.Pools {
 		fmt.Fprintf(w, "  (pool %s%s%s%s%s)\n", settings.Quote(p.Name), formatField("hosts", p.Hosts...), formatField("prefixes", p.Prefixes...),
@@ -52,6 +53,7 @@
 	}
 }
 
+// writeCustomersNamespaces writes the accounts below others and the customers' namespaces.
 func writeCustomersNamespaces(w io.Writer, directory *namespace.Directory) {
 	for _, a := range directory.Accounts {
 		if namespace.Parent(a.Name) != "" {
@@ -117,6 +119,7 @@
 	writeRouteList(w, "default", s.Defaults)
 }
 
+// writeRouteList writes the routes of one list; kind is guard, route or default.
 func writeRouteList(w io.Writer, kind string, routes []namespace.Route) {
 	for _, r := range routes {
 		fmt.Fprintf(w, "  (%s %s%s%s%s%s", kind, settings.Quote(r.Name), formatField("group", r.Group), formatField("key", r.Prefix),
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -29,7 +29,7 @@
 // proposalQueue holds the proposals that have no answer yet.
 type proposalQueue struct {
 	waiting []*proposal // not yet part of a version, oldest first
-	staged  []*proposal // part of the staged version, or of the version being stored
+	staged  []*proposal // part of the staged version, or of the version that the group is storing
 }
 
 // find returns the first matching proposal, or nil.
@@ -47,12 +47,13 @@
 	return q.find(func(p *proposal) bool { return len(id) > 0 && bytes.Equal(p.ID, id) })
 }
 
+// bySubject returns the proposal of a change with a subject, or nil.
 func (q *proposalQueue) bySubject(subject string) *proposal {
 	return q.find(func(p *proposal) bool { return p.subject() == subject })
 }
 
 // nextRound removes the proposals that are staged together next from the waiting ones, and returns
-// them.
+// them: those before the first one that must be staged alone, or only that one if it is the oldest.
 func (q *proposalQueue) nextRound() []*proposal {
 	round := q.waiting
 	if i := slices.IndexFunc(round, func(p *proposal) bool { return p.alone }); i >= 0 {
@@ -116,6 +117,8 @@
 		proposal.reply = reply
 		return true
 	}
+	// A change in a transitional version is answered once the version that completes the transition
+	// is active.
 	if e := findEntry(p.audit.active, change.ID); e != nil && (p.versions.staged == nil || !p.versions.active.transitional()) {
 		reply(p.summaryOfChange(now, e))
 		return true
--- a/internal/fleet/rules/reassignment_test.go
+++ b/internal/fleet/rules/reassignment_test.go
@@ -12,7 +12,7 @@
 func TestReassignedHostsHaveOneOwnerAtATime(t *testing.T) {
 	fleet := startWithPools(t, 4)
 	fleet.run(leaseDuration)
-	type use struct {
+	type use struct { // the pool of the host and the account of the tenant at one member and time
 		at      Time
 		pool    string
 		account string
@@ -102,7 +102,7 @@
 	fleet.proposeSigned(c, 1)
 	fleet.run(100 * ms)
 	if fleet.publisher.versions.staged == nil {
-		t.Fatal("the change is not staged; the last answer is", fleet.lastAnswer())
+		t.Fatalf("change %s is not staged after 100 ms; the last answer is %q", c.ID, fleet.lastAnswer())
 	}
 	fleet.restartPublisher()
 	n := len(fleet.answers)
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -17,6 +17,7 @@
 	samples *golden.Samples // nil if only the digest is recorded
 }
 
+// add records one message or checkpoint.
 func (r *recorder) add(kind string, data []byte) {
 	if r == nil {
 		return
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -132,7 +132,7 @@
 	fleet.run(3 * leaseDuration)
 	fleet.deliverDelayedReplies()
 	if v := fleet.members[1].Enforcer.Evaluate(anyRequest); !v.Lapsed {
-		t.Fatalf("a reply that is %d ms late grants a lease, want none", 3*leaseDuration/ms)
+		t.Fatalf("after a reply that is %d ms late member 1 has the verdict %+v, want none with a lease", 3*leaseDuration/ms, v)
 	}
 }
 
--- a/internal/fleet/rules/status.go
+++ b/internal/fleet/rules/status.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// summary returns the text with the number of members that hold a lease, and with the names of the
-// others.
+// summary returns a text with the number of the active version, the number of members that hold a
+// lease, and the names of the other members.
 func (p *Publisher) summary(now Time) string {
 	holders, all := 0, 0
 	var lapsed []string
@@ -30,7 +30,8 @@
 	return s
 }
 
-// summaryOfChange returns the answer for a change that was made before.
+// summaryOfChange returns the answer to a retry of an applied change: the summary, and the version of
+// the change if a newer one is active.
 func (p *Publisher) summaryOfChange(now Time, e *AuditEntry) string {
 	s := p.summary(now)
 	if e.Number < p.versions.active.Number {
@@ -76,6 +77,7 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
+// writeProgress writes the versions and the pending changes, and what the publisher waits for.
 func (p *Publisher) writeProgress(w io.Writer, now Time) {
 	v := &p.versions
 	fmt.Fprintf(w, "version %d is active, %d entries; %d earlier ones are kept\n", v.active.Number, v.active.Entries(), len(v.history))
@@ -96,6 +98,7 @@
 	}
 }
 
+// writeMembers writes a table of the members' leases and their state of the staged version.
 func (p *Publisher) writeMembers(w io.Writer, now Time) {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "process\tacts by\tfor\tnext version")
--- a/internal/fleet/rules/testfleet_test.go
+++ b/internal/fleet/rules/testfleet_test.go
@@ -22,13 +22,13 @@
 	now                Time
 	publisher          *Publisher
 	members            map[uint32]*Member
-	clockRate          map[uint32]float64
-	isolated           map[uint32]bool // by peer ID: the member's messages are lost in both directions
-	losesReplies       map[uint32]bool // by peer ID: the publisher's replies to the member are lost
-	checkpointsFail    bool            // the group stores no checkpoint
-	answers            []string        // to administrators, whose peer ID is 0
-	pendingCheckpoints []func()        // confirm the checkpoints that the group is storing
-	checkpoint         []byte          // the last checkpoint that the group has stored
+	clockRate          map[uint32]float64 // by peer ID; 1 means no drift
+	isolated           map[uint32]bool    // by peer ID: the member's messages are lost in both directions
+	losesReplies       map[uint32]bool    // by peer ID: the publisher's replies to the member are lost
+	checkpointsFail    bool               // the group stores no checkpoint
+	answers            []string           // to administrators, whose peer ID is 0
+	pendingCheckpoints []func()           // confirm the checkpoints that the group is storing
+	checkpoint         []byte             // the last checkpoint that the group has stored
 	observations       []observation
 	delayedReplies     []func()  // deliver the replies that are delayed
 	delayReplies       bool      // replies to members are added to delayedReplies
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -18,6 +18,7 @@
 }
 
 // beginTransition asks the group to store a state. The transition to it waits for the confirmation.
+// It is aborted immediately if the group does not accept the request.
 func (p *Publisher) beginTransition(now Time, state []byte, t transition) {
 	p.pending.checkpointNumber++
 	p.pending.next, p.pending.startedAt = t, now
@@ -57,6 +58,7 @@
 	proposals []*proposal
 }
 
+// stage begins to stage a version.
 func (p *Publisher) stage(s *staging) {
 	p.proposals.staged = s.proposals
 	p.beginTransition(s.startedAt, p.encodeCheckpoint(p.versions.active, s.version, s.audit, p.versions.history), s)
@@ -82,6 +84,7 @@
 	history   [][]byte
 }
 
+// activate begins to activate the staged version.
 func (p *Publisher) activate(now Time) {
 	a := &activation{now, p.versions.historyAfter(p.versions.staged)}
 	p.beginTransition(now, p.encodeCheckpoint(p.versions.staged, nil, p.audit.staged, a.history), a)
@@ -125,6 +128,8 @@
 	reason    string
 }
 
+// abandon begins to drop the staged version. The reason is the answer to its proposal if there is
+// only one.
 func (p *Publisher) abandon(now Time, reason string) {
 	state := p.encodeCheckpoint(p.versions.active, nil, p.audit.active, p.versions.history)
 	p.beginTransition(now, state, &abandonment{p.proposals.staged, reason})
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -28,8 +28,8 @@
 const (
 	maxEncodedBytes     = 256 << 10 // of an encoded version before compression
 	maxStoredBytes      = 12 << 10  // of a version in a checkpoint; two of them fit within a job's 32 KiB
-	maxNameBytes        = 128
-	maxRetryAfterMillis = 60_000
+	maxNameBytes        = 128       // of a host, tenant or class
+	maxRetryAfterMillis = 60_000    // of a refusal
 )
 
 // Refusal rejects new requests of a tenant and a class. An empty tenant or class matches all.
@@ -118,6 +118,7 @@
 	return err
 }
 
+// checkRefusals returns an error unless the refusals are valid, sorted and unique.
 func checkRefusals(refusals []Refusal) error {
 	for i, r := range refusals {
 		if len(r.Tenant) > maxNameBytes || len(r.Class) > maxNameBytes || r.RetryAfterMillis > maxRetryAfterMillis {
--- a/internal/fleet/rules/versions.go
+++ b/internal/fleet/rules/versions.go
@@ -10,13 +10,15 @@
 	activeHash Hash
 	staged     *Version // nil if none is staged
 	stagedHash Hash
-	stagedAt   Time
+	stagedAt   Time     // start of the staging; used for its timeout
 	history    [][]byte // earlier versions, oldest first, each as a delta from the following version
 	transfers  transferCache
 }
 
+// setActive sets the active version, and leaves the others unchanged.
 func (s *versionStore) setActive(v *Version) { s.active, s.activeHash = v, v.Hash() }
 
+// stage sets the staged version.
 func (s *versionStore) stage(v *Version, now Time) {
 	s.staged, s.stagedHash, s.stagedAt = v, v.Hash(), now
 }
--- a/internal/fleet/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -34,11 +34,13 @@
 	query struct{ revision int64 } // negative if the sender has no list
 )
 
+// newWriter returns a writer that contains the header of a datagram: its kind and the source.
 func newWriter(kind uint64, source uint32) *encoding.Writer {
 	var w encoding.Writer
 	return w.Uint(kind).Uint(uint64(source))
 }
 
+// encode encodes the query. The encoded revision is one more, so that 0 means no list.
 func (q query) encode(source uint32) []byte {
 	return newWriter(kindQuery, source).Uint(uint64(max(noRevision, q.revision) + 1)).Data
 }
@@ -108,6 +110,7 @@
 	return g, true
 }
 
+// decodeWatermark decodes a watermark and limits its validity to Lifetime.
 func decodeWatermark(r *encoding.Reader) (w Watermark, ok bool) {
 	state, host, startedAt, revision, validity := State(r.Uint()), r.Text(maxHostBytes), r.Uint(), r.Uint(), r.Uint()
 	ok = (state == Draining || state == Gone) && host != "" && startedAt <= math.MaxInt64 && revision < math.MaxInt64
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -44,10 +44,10 @@
 	Transport    Transport
 	Clock        Clock
 	Rand         *rand.Rand
-	Source       func() uint32 // returns the source of the own list; revisions are comparable only within one source
-	RefetchAfter time.Duration // how long the list may be behind before it is fetched from discovery again
-	RefetchList  func()
-	HostsChanged func(hosts []string) // called with the hosts for which Blocks has changed
+	Source       func() uint32        // returns the source of the own list; revisions are comparable only within one source
+	RefetchAfter time.Duration        // how long the list may be behind before it is fetched from discovery again
+	RefetchList  func()               // starts to fetch the list from discovery again
+	HostsChanged func(hosts []string) // called with hosts for which Blocks may have changed, unless ReceiveList returns them
 
 	registry    *Registry
 	source      uint32
@@ -61,7 +61,7 @@
 // unless another member has sent them by then.
 type pendingGossip struct {
 	watermarks []Watermark
-	scheduled  bool
+	scheduled  bool // whether gossipPending will be called
 }
 
 // add appends watermarks and keeps the last maxWatermarks.
@@ -72,8 +72,8 @@
 
 // refetchBackoff decides when a list that stays behind is fetched again.
 type refetchBackoff struct {
-	lastAt Time // time of the last fetch; 0 if there was none since the list was last up to date
-	wait   time.Duration
+	lastAt Time          // time of the last fetch; 0 if there was none since the list was last up to date
+	wait   time.Duration // minimum time before the next fetch
 }
 
 // due reports whether a list that has been behind since behindSince must be fetched now.
@@ -87,15 +87,15 @@
 // Run starts the link. It must be called once, before any other method.
 func (l *Link) Run() {
 	l.registry, l.source, l.refetch = NewRegistry(), l.Source(), refetchBackoff{wait: l.RefetchAfter}
-	l.lastQueryAt = l.Clock.Now() - Time(l.Rand.Int64N(int64(minQueryInterval)))
+	l.lastQueryAt = l.Clock.Now() - Time(l.Rand.Int64N(int64(minQueryInterval))) // members query at different times
 	l.periodicUpdate()
 }
 
 // Close stops the link. It sends and receives nothing afterwards.
 func (l *Link) Close() { l.closed = true }
 
-// ReceiveList updates the own endpoint list, which is either complete or a change, and returns the
-// hosts for which Blocks has changed. A list of another source discards all known watermarks,
+// ReceiveList updates the own endpoint list with a complete list or a change to it, and returns the
+// hosts for which Blocks may have changed. A list of another source discards all known watermarks,
 // because revisions are comparable only within one source.
 func (l *Link) ReceiveList(revision int64, complete bool, hosts []ListedHost) (changed []string) {
 	if s := l.Source(); s != l.source {
@@ -172,9 +172,9 @@
 // handleQuery replies with newer watermarks. If the sender has a newer list, it also queries the
 // sender.
 func (l *Link) handleQuery(from uint32, q query) {
-	now, own := l.Clock.Now(), l.registry.Revision()
+	now, ownRevision := l.Clock.Now(), l.registry.Revision()
 	l.send(l.registry.NewerThan(now, q.revision), from)
-	if q.revision > own && own >= 0 && now-l.lastQueryAt >= Time(updateInterval) {
+	if q.revision > ownRevision && ownRevision >= 0 && now-l.lastQueryAt >= Time(updateInterval) {
 		l.query(now, from)
 	}
 }
@@ -205,6 +205,7 @@
 	l.refetchIfBehind(now)
 }
 
+// queryOneOther queries a random other member if the query interval has passed.
 func (l *Link) queryOneOther(now Time) {
 	others := l.Transport.Others()
 	interval := max(minQueryInterval, time.Duration(len(others))*queryIntervalPerMember)
@@ -213,6 +214,8 @@
 	}
 }
 
+// refetchIfBehind fetches the list again if it has been behind for RefetchAfter, and backs off while
+// it stays behind.
 func (l *Link) refetchIfBehind(now Time) {
 	since := l.registry.BehindSince(now)
 	if since == 0 || !l.refetch.due(now, since) {
@@ -223,6 +226,7 @@
 	l.RefetchList()
 }
 
+// notifyChanged calls HostsChanged if there are hosts.
 func (l *Link) notifyChanged(hosts []string) {
 	if len(hosts) > 0 && !l.closed {
 		l.HostsChanged(hosts)
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -27,6 +27,7 @@
 	run      func()
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (t eventQueue) Len() int { return len(t) }
@@ -46,6 +47,7 @@
 	heap.Push(&f.due, event{f.now + Time(d), f.sent + len(f.due), run})
 }
 
+// run advances the time by d and runs the events that are due.
 func (f *testFleet) run(d Time) {
 	for end := f.now + d; ; {
 		if len(f.due) == 0 || f.due[0].at > end {
@@ -58,10 +60,11 @@
 	}
 }
 
+// faultyTransport is the Transport of one member. It delays and loses datagrams.
 type faultyTransport struct {
 	fleet    *testFleet
 	member   int
-	isolated bool
+	isolated bool // all datagrams to and from the member are lost
 }
 
 func (t *faultyTransport) MaxPayload() int { return 200 }
@@ -83,6 +86,7 @@
 	f.After(time.Duration(1+f.rng.IntN(40))*time.Millisecond, func() { f.links[member].Receive(uint32(t.member), data) })
 }
 
+// newTestFleet returns a fleet of n members whose list has revision 5 and hosts a and b up.
 func newTestFleet(n int, seed uint64) *testFleet {
 	f := &testFleet{now: 100 * second, rng: rand.New(rand.NewPCG(seed, 2)), refetches: make([]int, n)}
 	for i := range n {
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -11,12 +11,13 @@
 
 // ownHost is the entry of a host in the own endpoint list.
 type ownHost struct {
-	startedAt int64
+	startedAt int64 // Unix milliseconds
 	state     State
 	revision  int64 // of the list that introduced this state
 	since     Time  // when this state was received
 }
 
+// watermark returns the watermark of a host of the own list, with a full lifetime.
 func (o ownHost) watermark(host string) Watermark {
 	return Watermark{host, o.startedAt, o.revision, o.state, Lifetime}
 }
@@ -54,10 +55,10 @@
 	return hosts
 }
 
-// UpdateList updates the own list, which is either complete or a change. fresh holds the watermarks
+// UpdateList updates the own list with a complete list or a change to it. fresh holds the watermarks
 // that the list introduces. It is empty for a first list and for a complete list that is older than
-// the last, because the others receive the same list from discovery. changed holds the hosts that a
-// watermark blocks no longer, or blocks now.
+// the last, because the others receive the same list from discovery. changed holds the hosts whose
+// received watermark was added or dropped, so that Blocks may have changed for them.
 func (r *Registry) UpdateList(now Time, revision int64, complete bool, hosts []ListedHost) (fresh []Watermark, changed []string) {
 	if !complete && revision < r.revision {
 		return nil, nil // a change to an older list
@@ -111,8 +112,9 @@
 	return fresh
 }
 
-// updateHost updates one host of the own list and appends its watermark to fresh if the host is
-// newly draining or gone.
+// updateHost updates one host of the own list, and appends its watermark to fresh if the host has
+// become draining or gone. A host that appears as gone is recorded only, and a new host beyond
+// maxWatermarks is ignored.
 func (r *Registry) updateHost(now Time, revision int64, h ListedHost, fresh []Watermark) []Watermark {
 	o, had := r.own[h.Host]
 	if had && o.state == h.State && o.startedAt == h.StartedAt {
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-const second = Time(1e9)
+const second = Time(1e9) // nanoseconds
 
+// contains reports whether a host is in a list.
 func contains(all []string, id string) bool { return slices.Contains(all, id) }
 
 func TestNewerListBlocksHost(t *testing.T) {
@@ -93,6 +94,7 @@
 
 var modelHosts = []string{"a", "b", "c"}
 
+// newGossipModel returns a model in which all hosts are up and all registries have the list.
 func newGossipModel() *gossipModel {
 	m := &gossipModel{revision: 1, hosts: map[string]ListedHost{}, registries: []*Registry{NewRegistry(), NewRegistry(), NewRegistry()}, lastBlocked: map[blockedEntry]Time{}}
 	for _, host := range modelHosts {
@@ -147,8 +149,8 @@
 	}
 }
 
-// check verifies that each blocked host is blocked by a list that is newer than the registry's own,
-// within Lifetime.
+// check fails the test unless each blocked host is blocked by a list that is newer than the
+// registry's own, within Lifetime.
 func (m *gossipModel) check(rt *rapid.T) {
 	for i, r := range m.registries {
 		for _, host := range modelHosts {
--- a/internal/fleet/watermark/watermark.go
+++ b/internal/fleet/watermark/watermark.go
@@ -46,8 +46,8 @@
 	Host      string
 	StartedAt int64 // start of the host in Unix milliseconds; the watermark does not apply after a later start
 	Revision  int64 // of the list that first had the host in this state
-	State     State
-	ValidFor  Time // remaining validity
+	State     State // Draining or Gone
+	ValidFor  Time  // remaining validity
 }
 
 // ListedHost is one host of the own endpoint list.
