--- a/internal/fleet/namespace/explain.go
+++ b/internal/fleet/namespace/explain.go
@@ -52,9 +52,9 @@
 // condition.
 func (a *compiledAccount) explainNearMatches(b *strings.Builder, q Request, v Verdict) {
 	k, share, listed := q.matchKey(), a.share(q.Key), 0
-	explain := func(x *routeIndex, list string) {
-		for i := range x.routes {
-			r := &x.routes[i]
+	explain := func(index *routeIndex, list string) {
+		for i := range index.routes {
+			r := &index.routes[i]
 			if listed == maxNearMatches || r.account == v.RouteAccount && r.Name == v.Route {
 				continue
 			}
--- a/internal/fleet/namespace/isolation_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -13,6 +13,7 @@
 func evaluateByScan(d *Directory, c *Compiled, q Request) string {
 	a := c.accounts[c.AccountOfTenant(q.Tenant)]
 	k, share := matchKey{q.Group, q.Key, q.Class, q.Zone}, a.share(q.Key)
+	// mostSpecific returns the name of the most specific route that matches, or "".
 	mostSpecific := func(routes []Route) (name string) {
 		var highest [6]int
 		for i := range routes {
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -99,9 +99,11 @@
 }
 
 func TestCompileRejects(t *testing.T) {
+	// routes returns a directory in which account a has the routes.
 	routes := func(rs ...Route) *Directory {
 		return &Directory{Accounts: []Account{{Name: "a"}}, Namespaces: []Namespace{{Account: "a", Routes: rs}}}
 	}
+	// to returns r with a name and the pool main.
 	to := func(name string, r Route) Route { r.Name, r.Pool = name, MainPool; return r }
 	for want, directory := range map[string]*Directory{
 		"is in pool p and in pool q":             {Pools: []Pool{{Name: "p", Kinds: []string{"m"}}, {Name: "q", Kinds: []string{"m"}}}},
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -72,7 +72,7 @@
 }
 
 // usesOwnShare reports whether this proxy uses its own share of an account, because the issuer has
-// not replied for too long.
+// never replied, or not for too long.
 func (c *Client) usesOwnShare(now Time, account string) bool { return now >= c.ownShareStart(account) }
 
 // Acquire reserves one more connection of an account. It calls done once, with the limit that the
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -52,6 +52,7 @@
 	return all
 }
 
+// Reply delivers a reply in the next step, unless it is lost.
 func (s issuerOwner) Reply(to uint32, tag uint64, body []byte) {
 	f := s.f
 	f.record("answer", body)
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -169,13 +169,13 @@
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeDemands([]demand{{"a", 1, 2, 3}, {"a/b", 9, 9, 9}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		x := newTestFleet(2, 1, map[string]Limit{"a": {Rate: 5, Connections: 5}})
-		x.now += 10 * grantLifetime
-		x.issuers[0].QueryReceived(x.now, 1, 1, data)
-		x.clients[0].Acquire("a", 0, func(string, time.Duration) {})
-		x.clients[0].Step()
-		x.clients[0].ReplyReceived(1, data)
-		x.clients[0].Acquire("nobody's", 0, func(exceeded string, _ time.Duration) {
+		fleet := newTestFleet(2, 1, map[string]Limit{"a": {Rate: 5, Connections: 5}})
+		fleet.now += 10 * grantLifetime
+		fleet.issuers[0].QueryReceived(fleet.now, 1, 1, data)
+		fleet.clients[0].Acquire("a", 0, func(string, time.Duration) {})
+		fleet.clients[0].Step()
+		fleet.clients[0].ReplyReceived(1, data)
+		fleet.clients[0].Acquire("nobody's", 0, func(exceeded string, _ time.Duration) {
 			if exceeded != "" {
 				t.Fatalf("Acquire of an account without limits exceeds %q, want \"\"", exceeded)
 			}
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -128,7 +128,7 @@
 }
 
 // notifyMembers makes every present member request its lease immediately instead of at its next
-// renewal.
+// renewal. The body of the notification has no meaning.
 func (p *Publisher) notifyMembers() {
 	for _, m := range p.owner.Members() {
 		if m.Present {
--- a/internal/fleet/rules/testfleet_test.go
+++ b/internal/fleet/rules/testfleet_test.go
@@ -43,6 +43,7 @@
 	lapsed bool
 }
 
+// SendEffect notifies a member immediately, unless the member is isolated.
 func (fleet *testFleet) SendEffect(to uint32, _ uint64, body []byte) {
 	fleet.recorder.add("do", body)
 	if !fleet.isolated[to] {
@@ -50,6 +51,7 @@
 	}
 }
 
+// StoreCheckpoint stores a checkpoint and confirms it in the next step of run.
 func (fleet *testFleet) StoreCheckpoint(number uint64, checkpoint []byte) error {
 	if fleet.checkpointsFail {
 		return errors.New("the lease of the job has ended")
@@ -62,6 +64,8 @@
 	return nil
 }
 
+// Reply records an answer to an administrator, or delivers a reply to a member unless it is lost or
+// delayed.
 func (fleet *testFleet) Reply(to uint32, tag uint64, body []byte) {
 	fleet.recorder.add("answer", body)
 	if to == 0 {
@@ -79,6 +83,7 @@
 	deliver()
 }
 
+// Members returns all members. Isolated ones are not present.
 func (fleet *testFleet) Members() (all []jobs.Member) {
 	for i := uint32(1); i <= uint32(len(fleet.members)); i++ {
 		all = append(all, jobs.Member{Name: string(rune('a' + i - 1)), Peer: i, Present: !fleet.isolated[i]})
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -42,6 +42,7 @@
 	return x
 }
 
+// Now and After implement Clock.
 func (f *testFleet) Now() Time { return f.now }
 func (f *testFleet) After(d time.Duration, run func()) {
 	heap.Push(&f.due, event{f.now + Time(d), f.sent + len(f.due), run})
@@ -77,6 +78,7 @@
 	return out
 }
 
+// SendPayload delivers a datagram after 1 to 40 ms, unless it is lost.
 func (t *faultyTransport) SendPayload(member uint32, channel byte, data []byte) {
 	f := t.fleet
 	f.sent++
@@ -192,8 +194,8 @@
 	f := newTestFleet(2, 6)
 	f.transports[0].isolated = true
 	f.links[0].ReceiveList(8, false, []ListedHost{{"a", 1, Draining}})
-	if ids := f.links[0].ReceiveList(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !f.links[0].Blocks("a", 1) || f.links[0].Blocks("b", 1) {
-		t.Errorf("after list 8 drained host a and the older list 5 arrived: changed hosts = %v, want only a, and only a blocked", ids)
+	if changed := f.links[0].ReceiveList(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(changed) != 1 || !f.links[0].Blocks("a", 1) || f.links[0].Blocks("b", 1) {
+		t.Errorf("after list 8 drained host a and the older list 5 arrived: changed hosts = %v, want only a, and only a blocked", changed)
 	}
 	if f.links[0].Blocks("a", 2) {
 		t.Error("a watermark blocks a host that has restarted since")
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -11,7 +11,7 @@
 const second = Time(1e9) // nanoseconds
 
 // contains reports whether a host is in a list.
-func contains(all []string, id string) bool { return slices.Contains(all, id) }
+func contains(hosts []string, host string) bool { return slices.Contains(hosts, host) }
 
 func TestNewerListBlocksHost(t *testing.T) {
 	r := NewRegistry()
@@ -165,8 +165,8 @@
 // blockedByNewerList reports whether a list newer than the registry's had the host as draining or
 // gone within Lifetime.
 func (m *gossipModel) blockedByNewerList(r *Registry, host string, startedAt int64) bool {
-	for s, at := range m.lastBlocked {
-		if s.host == host && s.startedAt >= startedAt && s.revision > r.Revision() && m.now-at < Lifetime {
+	for entry, at := range m.lastBlocked {
+		if entry.host == host && entry.startedAt >= startedAt && entry.revision > r.Revision() && m.now-at < Lifetime {
 			return true
 		}
 	}
@@ -190,10 +190,10 @@
 	r := NewRegistry()
 	r.UpdateList(0, 1, true, nil)
 	for i := range 2 * maxWatermarks {
-		id := string([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
-		r.Merge(0, []Watermark{{id, 1, 5, Gone, Lifetime}})
-		r.recordGossip([]Watermark{{id, 1, 5, Gone, Lifetime}})
-		r.UpdateList(0, 1, false, []ListedHost{{id, 1, Draining}})
+		host := string([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
+		r.Merge(0, []Watermark{{host, 1, 5, Gone, Lifetime}})
+		r.recordGossip([]Watermark{{host, 1, 5, Gone, Lifetime}})
+		r.UpdateList(0, 1, false, []ListedHost{{host, 1, Draining}})
 	}
 	if len(r.received) > maxWatermarks || len(r.gossiped) > maxWatermarks || len(r.own) > maxWatermarks {
 		t.Errorf("registry has %d received, %d gossiped and %d own hosts, want at most %d of each", len(r.received), len(r.gossiped), len(r.own), maxWatermarks)
