--- a/internal/fleet/namespace/route.go
+++ b/internal/fleet/namespace/route.go
@@ -74,6 +74,7 @@
 
 func (r *Route) shareContains(share uint16) bool { return share >= r.ShareFrom && share < r.ShareTo }
 
+// windowContains reports whether a minute of the day is in the window, which may span midnight.
 func (r *Route) windowContains(minute int) bool {
 	if r.WindowBegin < r.WindowEnd {
 		return minute >= int(r.WindowBegin) && minute < int(r.WindowEnd)
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -164,7 +164,7 @@
 }
 
 // hasPermit reports whether there is a permit for a new connection: a permit from the issuer while
-// it replies, otherwise one from the proxy's own share. The bucket of the own share stays empty
+// it replies, otherwise one from the proxy's own share. The bucket of that share stays empty
 // while the issuer replies, so that no permits accumulate in addition to the issuer's.
 func (c *Client) hasPermit(now Time, account string, u *accountUsage, rate float64) bool {
 	if !c.usesOwnShare(now, account) {
--- a/internal/fleet/quota/message.go
+++ b/internal/fleet/quota/message.go
@@ -35,6 +35,8 @@
 	return w.Data
 }
 
+// decodeDemands decodes demands, and caps their numbers as readCount does. It returns an error if
+// there are more than maxAccountsPerMessage.
 func decodeDemands(data []byte) (demands []demand, err error) {
 	r := encoding.Reader{Data: data}
 	for n := r.Count(maxAccountsPerMessage); n > 0; n-- {
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -81,7 +81,7 @@
 
 // TestFleetStaysWithinLimits runs random sequences of partitions, lost messages and issuer
 // restarts. The connections acquired in one second never exceed the sum of the limit, the bucket's
-// burst, the grants of one lifetime and one permit of the own share per proxy. The open connections
+// burst, the grants of one lifetime and one permit of its share per proxy. The open connections
 // never exceed the limit unless issuers change.
 func TestFleetStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -93,6 +93,7 @@
 	return fmt.Sprintf(" (%s %d)", name, n)
 }
 
+// formatAccount returns an account's fields except its name.
 func formatAccount(a *namespace.Account) string {
 	s := formatField("tenants", a.Tenants...) + formatField("pools", a.Pools...) + formatField("classes", a.Classes...) +
 		formatNumber("rate", a.Rate.Max) + formatNumber("rate_reserved", a.Rate.Reserved) +
@@ -104,6 +105,7 @@
 	return s
 }
 
+// formatGrant returns the field of a grant.
 func formatGrant(g *namespace.Grant) string {
 	until := ""
 	if g.Until > 0 { // the file contains the last day, the version the first second after that day
@@ -113,6 +115,7 @@
 		settings.Quote(g.Verbs.String()), until)
 }
 
+// writeRoutes writes the three lists of routes of a namespace.
 func writeRoutes(w io.Writer, s *namespace.Namespace) {
 	writeRouteList(w, "guard", s.Guards)
 	writeRouteList(w, "route", s.Routes)
--- a/internal/fleet/rules/settings.go
+++ b/internal/fleet/rules/settings.go
@@ -32,6 +32,7 @@
 	return v
 }
 
+// bindRefusal registers the fields of a refusal and returns the refusal that they specify.
 func bindRefusal(f *settings.FieldSet) Refusal {
 	var r Refusal
 	var retryAfter time.Duration
--- a/internal/fleet/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -94,11 +94,13 @@
 	return m, nil
 }
 
+// decodeQuery decodes a query, which must be the whole rest of the datagram.
 func decodeQuery(r *encoding.Reader) (q query, ok bool) {
 	n := r.Uint()
 	return query{int64(n) - 1}, n <= math.MaxInt64 && len(r.Data) == 0
 }
 
+// decodeGossip decodes watermarks up to the end of the datagram.
 func decodeGossip(r *encoding.Reader) (g gossip, ok bool) {
 	for len(r.Data) > 0 {
 		w, ok := decodeWatermark(r)
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -44,7 +44,7 @@
 	Transport    Transport
 	Clock        Clock
 	Rand         *rand.Rand
-	Source       func() uint32        // returns the source of the own list; revisions are comparable only within one source
+	Source       func() uint32        // returns the source of this proxy's list; revisions are comparable only within one source
 	RefetchAfter time.Duration        // how long the list may be behind before it is fetched from discovery again
 	RefetchList  func()               // starts to fetch the list from discovery again
 	HostsChanged func(hosts []string) // called with hosts for which Blocks may have changed, unless ReceiveList returns them
@@ -94,8 +94,8 @@
 // Close stops the link. It sends and receives nothing afterwards.
 func (l *Link) Close() { l.closed = true }
 
-// ReceiveList updates the own endpoint list with a complete list or a change to it, and returns the
-// hosts for which Blocks may have changed. A list of another source discards all known watermarks,
+// ReceiveList updates this proxy's endpoint list with a complete list or a change to it, and returns
+// the hosts for which Blocks may have changed. A list of another source discards all known watermarks,
 // because revisions are comparable only within one source.
 func (l *Link) ReceiveList(revision int64, complete bool, hosts []ListedHost) (changed []string) {
 	if s := l.Source(); s != l.source {
@@ -113,8 +113,8 @@
 	return append(changed, ended...)
 }
 
-// Blocks reports whether a host that is up in the own list must get nothing new. startedAt is in
-// Unix milliseconds.
+// Blocks reports whether a host that is up in this proxy's list must get nothing new. startedAt is
+// in Unix milliseconds.
 func (l *Link) Blocks(host string, startedAt int64) bool {
 	return l.registry.Blocks(l.Clock.Now(), host, startedAt)
 }
@@ -140,7 +140,7 @@
 	}
 }
 
-// query requests the watermarks that are newer than the own list from a member.
+// query requests the watermarks that are newer than this proxy's list from a member.
 func (l *Link) query(now Time, member uint32) {
 	l.lastQueryAt = now
 	l.Transport.SendPayload(member, PayloadChannel, query{l.registry.Revision()}.encode(l.source))
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -166,7 +166,7 @@
 		t.Logf("%d datagrams; if all gossiped, %d", sent, n*(n-1))
 	}
 	if f.countBlocking("a") > 0 {
-		t.Error("a watermark that is not newer than the own list blocks a host")
+		t.Error("a watermark that is not newer than the member's list blocks a host")
 	}
 }
 
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -9,7 +9,7 @@
 // noRevision is the revision if there is no list.
 const noRevision = -1
 
-// ownHost is the entry of a host in the own endpoint list.
+// ownHost is the entry of a host in this proxy's endpoint list.
 type ownHost struct {
 	startedAt int64 // Unix milliseconds
 	state     State
@@ -17,12 +17,12 @@
 	since     Time  // when this state was received
 }
 
-// watermark returns the watermark of a host of the own list, with a full lifetime.
+// watermark returns the watermark of a host of this proxy's list, with a full lifetime.
 func (o ownHost) watermark(host string) Watermark {
 	return Watermark{host, o.startedAt, o.revision, o.state, Lifetime}
 }
 
-// receivedWatermark is a watermark from another proxy, or one kept from a newer own list.
+// receivedWatermark is a watermark from another proxy, or one kept from a newer list of this proxy.
 type receivedWatermark struct {
 	Watermark
 	expiresAt    Time // when it expires
@@ -30,10 +30,10 @@
 }
 
 // Registry holds what one proxy knows: its own list, and the watermarks of others' newer lists. A
-// host is blocked only by a watermark whose revision is newer than the own list's, so a proxy with
-// the newest list is never overruled.
+// host is blocked only by a watermark whose revision is newer than that of its own list, so a proxy
+// with the newest list is never overruled.
 type Registry struct {
-	revision int64 // of the own list; negative if there is none
+	revision int64 // of this proxy's list; negative if there is none
 	own      map[string]ownHost
 	received map[string]receivedWatermark
 	gossiped map[string]int64 // by host: the newest revision that other proxies have gossiped recently
@@ -44,7 +44,7 @@
 	return &Registry{revision: noRevision, own: map[string]ownHost{}, received: map[string]receivedWatermark{}, gossiped: map[string]int64{}}
 }
 
-// Revision returns the revision of the own list. It is negative if there is none.
+// Revision returns the revision of this proxy's list. It is negative if there is none.
 func (r *Registry) Revision() int64 { return r.revision }
 
 // Reset clears the registry for a list from another source, whose revisions are not comparable with
@@ -55,10 +55,10 @@
 	return hosts
 }
 
-// UpdateList updates the own list with a complete list or a change to it. fresh holds the watermarks
-// that the list introduces. It is empty for a first list and for a complete list that is older than
-// the last, because the others receive the same list from discovery. changed holds the hosts whose
-// received watermark was added or dropped, so that Blocks may have changed for them.
+// UpdateList updates this proxy's list with a complete list or a change to it. fresh holds the
+// watermarks that the list introduces. It is empty for a first list and for a complete list that is
+// older than the last, because the others receive the same list from discovery. changed holds the
+// hosts whose received watermark was added or dropped, so that Blocks may have changed for them.
 func (r *Registry) UpdateList(now Time, revision int64, complete bool, hosts []ListedHost) (fresh []Watermark, changed []string) {
 	if !complete && revision < r.revision {
 		return nil, nil // a change to an older list
@@ -80,7 +80,7 @@
 	return fresh, changed
 }
 
-// keepNewerEntries clears the own list before a complete one that is older replaces it; an agent
+// keepNewerEntries clears this proxy's list before a complete one that is older replaces it; an agent
 // may push an older list after an outage. Hosts that were draining or gone in the newer list are
 // not released: they are kept as watermarks like those from other proxies.
 func (r *Registry) keepNewerEntries(now Time, revision int64) (changed []string) {
@@ -112,7 +112,7 @@
 	return fresh
 }
 
-// updateHost updates one host of the own list, and appends its watermark to fresh if the host has
+// updateHost updates one host of this proxy's list, and appends its watermark to fresh if the host has
 // become draining or gone. A host that appears as gone is recorded only, and a new host beyond
 // maxWatermarks is ignored.
 func (r *Registry) updateHost(now Time, revision int64, h ListedHost, fresh []Watermark) []Watermark {
@@ -131,8 +131,8 @@
 	return append(fresh, o.watermark(h.Host))
 }
 
-// dropOutdated drops watermarks of lists that are not newer than the own list, and returns their
-// hosts.
+// dropOutdated drops watermarks of lists that are not newer than this proxy's list, and returns
+// their hosts.
 func (r *Registry) dropOutdated() (hosts []string) {
 	for host, w := range r.received {
 		if w.Revision <= r.revision {
@@ -155,7 +155,7 @@
 
 // merge adds one watermark and reports whether Blocks has changed for its host.
 func (r *Registry) merge(now Time, w Watermark) (changed bool) {
-	if w.Revision <= r.revision || w.State == Up || w.ValidFor <= 0 { // the own list is as new, or the watermark blocks nothing
+	if w.Revision <= r.revision || w.State == Up || w.ValidFor <= 0 { // this proxy's list is as new, or the watermark blocks nothing
 		return false
 	}
 	until := now + min(w.ValidFor, Lifetime)
@@ -180,7 +180,7 @@
 	return r.Blocks(now, w.Host, r.own[w.Host].startedAt) != wasBlocked
 }
 
-// Blocks reports whether a watermark of a newer list blocks a host that the own list has as up. A
+// Blocks reports whether a watermark of a newer list blocks a host that is up in this proxy's list. A
 // watermark does not apply to a host that started after the watermark's StartedAt.
 func (r *Registry) Blocks(now Time, host string, startedAt int64) bool {
 	w, received := r.received[host]
@@ -199,7 +199,7 @@
 	return changed
 }
 
-// BehindSince returns since when a newer list has blocked a host that the own list has as up, or 0
+// BehindSince returns since when a newer list has blocked a host that is up in this proxy's list, or 0
 // if there is no such host.
 func (r *Registry) BehindSince(now Time) (since Time) {
 	for host, w := range r.received {
@@ -211,9 +211,9 @@
 	return since
 }
 
-// NewerThan returns all watermarks of lists newer than revision, sorted by revision. Those of the
-// own list have a full lifetime. Received ones have the rest of theirs, so that forwarding does not
-// prolong a watermark.
+// NewerThan returns all watermarks of lists newer than revision, sorted by revision. Those of this
+// proxy's list have a full lifetime. Received ones have the rest of theirs, so that forwarding does
+// not prolong a watermark.
 func (r *Registry) NewerThan(now Time, revision int64) []Watermark {
 	var all []Watermark
 	for host, o := range r.own {
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -17,7 +17,7 @@
 	r := NewRegistry()
 	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}, {"b", 100, Up}})
 	if c := r.Merge(second, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || r.Blocks(second, "a", 100) {
-		t.Errorf("Merge of a watermark that is not newer than the own list changed %v, want no host, and host a not blocked", c)
+		t.Errorf("Merge of a watermark that is not newer than the registry's list changed %v, want no host, and host a not blocked", c)
 	}
 	if c := r.Merge(second, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !contains(c, "a") || !r.Blocks(second, "a", 100) || r.Blocks(second, "b", 100) {
 		t.Errorf("Merge of a watermark of a newer list changed %v, want host a, and only host a blocked", c)
@@ -29,10 +29,10 @@
 		t.Errorf("BehindSince = %d, want %d", r.BehindSince(3*second), second)
 	}
 	if _, c := r.UpdateList(4*second, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !r.Blocks(4*second, "a", 100) {
-		t.Errorf("an own list that is still older than the watermark changed %v, want no host, and host a blocked", c)
+		t.Errorf("a list of this proxy that is still older than the watermark changed %v, want no host, and host a blocked", c)
 	}
 	if _, c := r.UpdateList(5*second, 7, false, nil); !contains(c, "a") || r.Blocks(5*second, "a", 100) || r.BehindSince(5*second) != 0 {
-		t.Errorf("an own list that is as new as the watermark changed %v, want host a, which is no longer blocked, and BehindSince = 0", c)
+		t.Errorf("a list of this proxy that is as new as the watermark changed %v, want host a, which is no longer blocked, and BehindSince = 0", c)
 	}
 }
 
@@ -173,7 +173,7 @@
 	return false
 }
 
-// Whatever is gossiped, lost and repeated, a host is blocked only if a list newer than the own one
+// Whatever is gossiped, lost and repeated, a host is blocked only if a list newer than the proxy's own
 // had it as draining or gone, for this start of the host, within Lifetime. A proxy with the newest
 // list blocks no host.
 func TestBlockedOnlyByNewerList(t *testing.T) {
--- a/internal/fleet/watermark/watermark.go
+++ b/internal/fleet/watermark/watermark.go
@@ -38,7 +38,7 @@
 
 const (
 	maxWatermarks = 4096         // most hosts in each table of a Registry, and watermarks waiting in a Link
-	goneRetention = 2 * Lifetime // how long a host that has left the own list is gossiped as gone
+	goneRetention = 2 * Lifetime // how long a host that has left this proxy's list is gossiped as gone
 )
 
 // Watermark reports that one host must get no new requests.
@@ -50,7 +50,7 @@
 	ValidFor  Time  // remaining validity
 }
 
-// ListedHost is one host of the own endpoint list.
+// ListedHost is one host of this proxy's endpoint list.
 type ListedHost struct {
 	Host      string
 	StartedAt int64 // Unix milliseconds
