--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -44,30 +44,30 @@
 	Attempts int
 }
 
-// connection is the host of an established connection, and its group.
-type connection struct{ host, group string }
+// placement is the host of an established placement, and its group.
+type placement struct{ host, group string }
 
 // counter goes through the events of all proxies.
 type counter struct {
-	fleet        *Fleet
-	window       *Window
-	windowLength time.Duration
-	warmUpPeriod time.Duration
-	hosts        map[string]*Host
-	coldSentAt   map[string][]time.Time           // by host
-	established  map[string]map[string]connection // by proxy and request
-	groupOf      map[string]string                // of each request that came
-	peakOver     time.Duration
+	fleet          *Fleet
+	window         *Window
+	windowLength   time.Duration
+	warmUpPeriod   time.Duration
+	hosts          map[string]*Host
+	warmUpAttempts map[string][]time.Time          // by host
+	established    map[string]map[string]placement // by proxy and request
+	groups         map[string]string               // of each request that came
+	peakWindow     time.Duration
 }
 
 // Count goes through a log in windows of the given length. A host is cold for warmUp after its start, and its peak is the most attempts in
 // any stretch of peakOver.
-func Count(l *Log, window, warmUp, peakOver time.Duration) *Fleet {
-	c := &counter{fleet: &Fleet{Start: l.Events[0].Time}, windowLength: window, warmUpPeriod: warmUp, peakOver: peakOver, hosts: map[string]*Host{},
-		coldSentAt: map[string][]time.Time{}, established: map[string]map[string]connection{}, groupOf: map[string]string{}}
+func Count(l *Log, window, warmUp, peakWindow time.Duration) *Fleet {
+	c := &counter{fleet: &Fleet{Start: l.Events[0].Time}, windowLength: window, warmUpPeriod: warmUp, peakWindow: peakWindow, hosts: map[string]*Host{},
+		warmUpAttempts: map[string][]time.Time{}, established: map[string]map[string]placement{}, groups: map[string]string{}}
 	for _, e := range l.Events {
-		c.advance(e.Time)
-		c.take(e)
+		c.advanceWindow(e.Time)
+		c.countEvent(e)
 	}
 	c.closeWindow()
 	c.finishHosts()
@@ -83,8 +83,8 @@
 	return h
 }
 
-// advance begins the windows up to that of a time.
-func (c *counter) advance(to time.Time) {
+// advanceWindow begins the windows up to that of a time.
+func (c *counter) advanceWindow(to time.Time) {
 	passed := to.Sub(c.fleet.Start)
 	for c.window == nil || passed >= c.window.From+c.windowLength {
 		from := time.Duration(0)
@@ -99,7 +99,7 @@
 
 // closeWindow counts what is established at the window's end.
 func (c *counter) closeWindow() {
-	places := map[connection]bool{}
+	places := map[placement]bool{}
 	for _, ofProxy := range c.established {
 		for _, at := range ofProxy {
 			c.window.Open++
@@ -109,12 +109,12 @@
 	c.window.Placements = len(places)
 }
 
-// take counts one event.
-func (c *counter) take(e Event) {
+// countEvent counts one event.
+func (c *counter) countEvent(e Event) {
 	switch e.Name {
 	case "ready":
 		c.window.ProcessStarts++
-		c.established[e.Proxy] = map[string]connection{} // a new process has no connections
+		c.established[e.Proxy] = map[string]placement{} // a new process has no connections
 	case "request_received":
 		c.requestReceived(e)
 	case "attempt_started":
@@ -140,14 +140,14 @@
 func (c *counter) requestReceived(e Event) {
 	c.window.Requests++
 	c.fleet.Requests++
-	c.groupOf[e.Fields["request"]] = e.Fields["group"]
+	c.groups[e.Fields["request"]] = e.Fields["group"]
 	if e.Fields["returned"] == "true" || e.Fields["retry"] == "true" {
 		c.window.Returned++
 	}
 }
 
 func (c *counter) attemptStarted(e Event) {
-	if _, placed := c.groupOf[e.Fields["request"]]; !placed {
+	if _, placed := c.groups[e.Fields["request"]]; !placed {
 		return // restored at its host from before the start, which is no placement
 	}
 	c.window.Attempts++
@@ -156,17 +156,17 @@
 	h.Attempts++
 	if !h.StartedAt.IsZero() && e.Time.Sub(h.StartedAt) < c.warmUpPeriod {
 		h.WarmUpAttempts++
-		c.coldSentAt[h.Name] = append(c.coldSentAt[h.Name], e.Time)
+		c.warmUpAttempts[h.Name] = append(c.warmUpAttempts[h.Name], e.Time)
 	}
 }
 
 func (c *counter) requestEstablished(e Event) {
 	c.window.Established++
 	if c.established[e.Proxy] == nil {
-		c.established[e.Proxy] = map[string]connection{}
+		c.established[e.Proxy] = map[string]placement{}
 	}
 	request := e.Fields["request"]
-	c.established[e.Proxy][request] = connection{e.Fields["host"], c.groupOf[request]}
+	c.established[e.Proxy][request] = placement{e.Fields["host"], c.groups[request]}
 }
 
 func (c *counter) attemptEnded(e Event) {
@@ -196,14 +196,14 @@
 		}
 	}
 	for name, h := range c.hosts {
-		h.WarmUpPeak = peak(c.coldSentAt[name], c.peakOver)
+		h.WarmUpPeak = maxWithin(c.warmUpAttempts[name], c.peakWindow)
 		c.fleet.Hosts = append(c.fleet.Hosts, h)
 	}
 	sort.Slice(c.fleet.Hosts, func(i, j int) bool { return c.fleet.Hosts[i].Name < c.fleet.Hosts[j].Name })
 }
 
-// peak is the most of some times, in order, within any stretch of the given length.
-func peak(times []time.Time, within time.Duration) (most int) {
+// maxWithin is the most of some times, in order, within any stretch of the given length.
+func maxWithin(times []time.Time, within time.Duration) (most int) {
 	for i, from := range times {
 		n := 0
 		for _, at := range times[i:] {
--- a/internal/testbed/fleetlog/eventnames.go
+++ b/internal/testbed/fleetlog/eventnames.go
@@ -1,7 +1,7 @@
 package fleetlog
 
-// earlierNames are the log events that had another name in earlier versions, whose logs are read as well.
-var earlierNames = map[string]string{
+// earlierEventNames are the log events that had another name in earlier versions, whose logs are read as well.
+var earlierEventNames = map[string]string{
 	"asked":              "request_received",
 	"attempt":            "attempt_started",
 	"stands":             "request_established",
@@ -75,9 +75,9 @@
 	"peer_message":       "peer_message_invalid",
 }
 
-// currentName is the name that an event has now.
-func currentName(event string) string {
-	if name, renamed := earlierNames[event]; renamed {
+// currentEventName is the name that an event has now.
+func currentEventName(event string) string {
+	if name, renamed := earlierEventNames[event]; renamed {
 		return name
 	}
 	return event
--- a/internal/testbed/fleetlog/fieldnames.go
+++ b/internal/testbed/fleetlog/fieldnames.go
@@ -56,8 +56,8 @@
 	}
 	current := make(map[string]string, len(fields))
 	for name, value := range fields {
-		if now, ok := renamed.names[name]; ok {
-			name = now
+		if currentName, ok := renamed.names[name]; ok {
+			name = currentName
 		}
 		current[name] = value
 	}
--- a/internal/testbed/fleetlog/fleetlog.go
+++ b/internal/testbed/fleetlog/fleetlog.go
@@ -23,8 +23,8 @@
 	Fields map[string]string
 }
 
-// maxLine is the longest line that is read, in bytes; a longer one is not of croftlock's log.
-const maxLine = 64 << 10
+// maxLineBytes is the longest line that is read, in bytes; a longer one is not of croftlock's log.
+const maxLineBytes = 64 << 10
 
 // Log is what was read of a folder.
 type Log struct {
@@ -52,7 +52,7 @@
 		if err != nil {
 			return nil, err
 		}
-		err = l.read(f, strings.TrimSuffix(filepath.Base(name), ".log"))
+		err = l.readProxy(f, strings.TrimSuffix(filepath.Base(name), ".log"))
 		f.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
@@ -65,11 +65,11 @@
 	return l, nil
 }
 
-func (l *Log) read(from io.Reader, proxy string) error {
-	r := bufio.NewReaderSize(from, maxLine)
+func (l *Log) readProxy(from io.Reader, proxy string) error {
+	r := bufio.NewReaderSize(from, maxLineBytes)
 	for {
 		line, err := r.ReadSlice('\n')
-		whole := err == nil
+		complete := err == nil
 		for errors.Is(err, bufio.ErrBufferFull) {
 			_, err = r.ReadSlice('\n')
 		}
@@ -77,7 +77,7 @@
 			return err
 		}
 		// A last line without its end was cut off with its proxy, and a number in it may be incomplete.
-		if !whole {
+		if !complete {
 			if len(line) > 0 {
 				l.Skipped++
 			}
@@ -96,32 +96,32 @@
 // parse reads a line: date, time, event=NAME, key=value... Another program may have written something before the date.
 func parse(line string) (Event, bool) {
 	at := strings.Index(line, " event=")
-	const stamp = "2006/01/02 15:04:05.000000"
-	if at < len(stamp) {
+	const timeFormat = "2006/01/02 15:04:05.000000"
+	if at < len(timeFormat) {
 		return Event{}, false
 	}
-	when, err := time.Parse(stamp, line[at-len(stamp):at])
+	timestamp, err := time.Parse(timeFormat, line[at-len(timeFormat):at])
 	if err != nil {
 		return Event{}, false
 	}
-	e := Event{Time: when, Fields: map[string]string{}}
+	e := Event{Time: timestamp, Fields: map[string]string{}}
 	for rest := strings.TrimSpace(line[at+1:]); rest != ""; {
 		key, value, found := strings.Cut(rest, "=")
 		if !found || key == "" || strings.ContainsAny(key, " \"") {
 			return Event{}, false
 		}
 		if strings.HasPrefix(value, `"`) {
-			q, err := strconv.QuotedPrefix(value)
+			quoted, err := strconv.QuotedPrefix(value)
 			if err != nil {
 				return Event{}, false
 			}
-			rest = strings.TrimPrefix(value[len(q):], " ")
-			value, _ = strconv.Unquote(q)
+			rest = strings.TrimPrefix(value[len(quoted):], " ")
+			value, _ = strconv.Unquote(quoted)
 		} else {
 			value, rest, _ = strings.Cut(value, " ")
 		}
 		if key == "event" {
-			e.Name = currentName(value)
+			e.Name = currentEventName(value)
 		} else {
 			e.Fields[key] = value
 		}
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/operations/logging"
 )
 
-// write makes a log with the program's own handler, and tail behind it.
-func write(t *testing.T, dir, name string, events func(say func(event string, kv ...any)), tail string) {
+// writeLog makes a log with the program's own handler, and tail behind it.
+func writeLog(t *testing.T, dir, name string, events func(logEvent func(event string, kv ...any)), tail string) {
 	t.Helper()
 	var b bytes.Buffer
 	o := logging.Defaults()
@@ -30,26 +30,26 @@
 	dir := t.TempDir()
 	since := time.Now().UnixMilli()
 	for _, p := range []string{"n0.log", "n1.log"} {
-		write(t, dir, p, func(say func(string, ...any)) {
-			say("ready", "name", p)
-			say("host", "host", "s1", "zone", "zone a", "state", 0, "weight", 1.5, "since_ms", since)
-			say("asked", "request", "q"+p, "group", "g", "returned", p == "n1.log", "repeat", false)
-			say("attempt", "request", "adopted", "number", 0, "host", "s0")
-			say("attempt", "request", "q"+p, "number", 0, "host", "s0")
-			say("outcome", "request", "q"+p, "host", "s0", "status", "connect_failed", "up", false)
-			say("attempt", "request", "q"+p, "number", 1, "host", "s1")
-			say("stands", "request", "q"+p, "host", "s1")
-			say("told", "request", "q"+p, "host", "s1", "delay", true, "value", 250.5)
-			say("told", "request", "q"+p, "host", "s1", "delay", false, "value", 99999.0)
-			say("refused", "request", "other")
+		writeLog(t, dir, p, func(logEvent func(string, ...any)) {
+			logEvent("ready", "name", p)
+			logEvent("host", "host", "s1", "zone", "zone a", "state", 0, "weight", 1.5, "since_ms", since)
+			logEvent("asked", "request", "q"+p, "group", "g", "returned", p == "n1.log", "repeat", false)
+			logEvent("attempt", "request", "adopted", "number", 0, "host", "s0")
+			logEvent("attempt", "request", "q"+p, "number", 0, "host", "s0")
+			logEvent("outcome", "request", "q"+p, "host", "s0", "status", "connect_failed", "up", false)
+			logEvent("attempt", "request", "q"+p, "number", 1, "host", "s1")
+			logEvent("stands", "request", "q"+p, "host", "s1")
+			logEvent("told", "request", "q"+p, "host", "s1", "delay", true, "value", 250.5)
+			logEvent("told", "request", "q"+p, "host", "s1", "delay", false, "value", 99999.0)
+			logEvent("refused", "request", "other")
 		}, "0.1 2026/12/01 10:00:00.000000 event=attempt_started request=torn host=s")
 	}
 	// Lines of another program, malformed ones and one that is too long are skipped; something before the date is not.
-	odd := "another program's line\n2026/12/01 10:00 event=request_received\nx event=y\n" +
+	otherLines := "another program's line\n2026/12/01 10:00 event=request_received\nx event=y\n" +
 		time.Now().UTC().Format("12.5 2006/01/02 15:04:05.000000") + " event=request_rejected request=\"a b\" after_ms=3\n" +
 		time.Now().UTC().Format("2006/01/02 15:04:05.000000") + " event=attempt_started host=\"torn\n" +
-		string(bytes.Repeat([]byte("z"), 3*maxLine)) + "\n"
-	if err := os.WriteFile(filepath.Join(dir, "n2.log"), []byte(odd), 0o600); err != nil {
+		string(bytes.Repeat([]byte("z"), 3*maxLineBytes)) + "\n"
+	if err := os.WriteFile(filepath.Join(dir, "n2.log"), []byte(otherLines), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	l, err := ReadDir(dir)
@@ -83,12 +83,12 @@
 // TestRestartedProxyHasNoConnections: a process that becomes ready has no connections, whatever the one before it had.
 func TestRestartedProxyHasNoConnections(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, "n0.log", func(say func(string, ...any)) {
-		say("ready")
-		say("stands", "request", "a", "host", "s1")
-		say("ready")
-		say("stands", "request", "b", "host", "s1")
-		say("outcome", "request", "b", "host", "s1", "status", "reset", "up", true)
+	writeLog(t, dir, "n0.log", func(logEvent func(string, ...any)) {
+		logEvent("ready")
+		logEvent("stands", "request", "a", "host", "s1")
+		logEvent("ready")
+		logEvent("stands", "request", "b", "host", "s1")
+		logEvent("outcome", "request", "b", "host", "s1", "status", "reset", "up", true)
 	}, "")
 	l, err := ReadDir(dir)
 	if err != nil {
@@ -124,29 +124,29 @@
 func TestCountLoss(t *testing.T) {
 	at := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	var l Log
-	say := func(s float64, event string, kv ...string) {
-		e := Event{Time: at.Add(time.Duration(s * float64(time.Second))), Proxy: "n0", Name: event, Fields: map[string]string{}}
+	addEvent := func(seconds float64, event string, kv ...string) {
+		e := Event{Time: at.Add(time.Duration(seconds * float64(time.Second))), Proxy: "n0", Name: event, Fields: map[string]string{}}
 		for i := 0; i < len(kv); i += 2 {
 			e.Fields[kv[i]] = kv[i+1]
 		}
 		l.Events = append(l.Events, e)
 	}
 	for _, h := range []string{"a", "b", "c"} {
-		say(0, "host_updated", "host", h, "weight", "1", "state", "ready")
+		addEvent(0, "host_updated", "host", h, "weight", "1", "state", "ready")
 	}
 	for _, r := range []string{"1", "2", "3", "4"} {
-		say(0.1, "request_received", "request", r)
-		say(1.1, "request_established", "request", r, "host", map[bool]string{true: "a", false: "b"}[r != "4"])
-	}
-	say(5.1, "load_reported", "request", "1", "host", "a", "delay", "true", "value", "400")
-	say(5.1, "load_reported", "request", "4", "host", "b", "delay", "true", "value", "400")
-	say(5.2, "load_reported", "request", "4", "host", "c", "delay", "true", "value", "100")
-	say(8.1, "attempt_ended", "request", "1", "host", "a", "status", "reset", "established", "true")
-	say(8.1, "attempt_ended", "request", "2", "host", "a", "status", "cancelled", "established", "true")
-	say(8.1, "attempt_ended", "request", "3", "host", "a", "status", "ok", "established", "true")
-	say(10.1, "request_received", "request", "1")
-	say(10.1, "request_rejected", "request", "1")
-	say(60.1, "attempt_ended", "request", "4", "host", "b", "status", "ok", "established", "true")
+		addEvent(0.1, "request_received", "request", r)
+		addEvent(1.1, "request_established", "request", r, "host", map[bool]string{true: "a", false: "b"}[r != "4"])
+	}
+	addEvent(5.1, "load_reported", "request", "1", "host", "a", "delay", "true", "value", "400")
+	addEvent(5.1, "load_reported", "request", "4", "host", "b", "delay", "true", "value", "400")
+	addEvent(5.2, "load_reported", "request", "4", "host", "c", "delay", "true", "value", "100")
+	addEvent(8.1, "attempt_ended", "request", "1", "host", "a", "status", "reset", "established", "true")
+	addEvent(8.1, "attempt_ended", "request", "2", "host", "a", "status", "cancelled", "established", "true")
+	addEvent(8.1, "attempt_ended", "request", "3", "host", "a", "status", "ok", "established", "true")
+	addEvent(10.1, "request_received", "request", "1")
+	addEvent(10.1, "request_rejected", "request", "1")
+	addEvent(60.1, "attempt_ended", "request", "4", "host", "b", "status", "ok", "established", "true")
 	sort.SliceStable(l.Events, func(i, j int) bool { return l.Events[i].Time.Before(l.Events[j].Time) })
 	got := CountLoss(&l, 250*time.Millisecond)
 	for _, c := range []struct {
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -37,10 +37,10 @@
 	MaxDisconnected = 10 * time.Second
 	// delayReportLifetime is how long a reported delay counts.
 	delayReportLifetime = 1500 * time.Millisecond
-	// crowdedShare is how many times its share of connections a host has to have for its slowness to count as load.
-	crowdedShare = 1.25
-	// sampleEvery is the time that one sample counts for.
-	sampleEvery = 250 * time.Millisecond
+	// overloadShare is how many times its share of connections a host has to have for its slowness to count as load.
+	overloadShare = 1.25
+	// sampleInterval is the time that one sample counts for.
+	sampleInterval = 250 * time.Millisecond
 	// minSpreadConnections is how many connections there have to be for their spread to say something.
 	minSpreadConnections = 20
 )
@@ -69,23 +69,23 @@
 	objective time.Duration // for a message
 	clients   map[string]*client
 	hosts     map[string]*HostLoss
-	weight    map[string]float64
+	weights   map[string]float64
 	slowUntil map[string]time.Time
 	spreads   []float64
 }
 
 // CountLoss goes through a log sample by sample. A host is slow while it was reported of late that messages took the objective or longer.
 func CountLoss(l *Log, objective time.Duration) *Loss {
-	c := &lossCounter{loss: &Loss{}, objective: objective, clients: map[string]*client{}, hosts: map[string]*HostLoss{}, weight: map[string]float64{},
+	c := &lossCounter{loss: &Loss{}, objective: objective, clients: map[string]*client{}, hosts: map[string]*HostLoss{}, weights: map[string]float64{},
 		slowUntil: map[string]time.Time{}}
-	next := l.Events[0].Time.Add(sampleEvery)
+	next := l.Events[0].Time.Add(sampleInterval)
 	for _, e := range l.Events {
-		for ; e.Time.After(next); next = next.Add(sampleEvery) {
+		for ; e.Time.After(next); next = next.Add(sampleInterval) {
 			c.sample(next)
 		}
-		c.take(e)
+		c.applyEvent(e)
 	}
-	samples := max(1, l.Events[len(l.Events)-1].Time.Sub(l.Events[0].Time)/sampleEvery)
+	samples := max(1, l.Events[len(l.Events)-1].Time.Sub(l.Events[0].Time)/sampleInterval)
 	c.finish(float64(samples))
 	return c.loss
 }
@@ -97,21 +97,21 @@
 	return c.hosts[name]
 }
 
-// take notes what an event changes.
-func (c *lossCounter) take(e Event) {
+// applyEvent notes what an event changes.
+func (c *lossCounter) applyEvent(e Event) {
 	request, host := e.Fields["request"], e.Fields["host"]
-	set := func(state clientState, host string) { c.clients[request] = &client{state, host, e.Time} }
+	setState := func(state clientState, host string) { c.clients[request] = &client{state, host, e.Time} }
 	switch e.Name {
 	case "host_updated":
 		c.host(host)
-		c.weight[host] = usableWeight(e)
+		c.weights[host] = usableWeight(e)
 	case "request_received":
-		set(clientWaiting, "")
+		setState(clientWaiting, "")
 	case "request_established":
 		c.host(host)
-		set(clientConnected, host)
+		setState(clientConnected, host)
 	case "request_rejected":
-		set(clientRejected, "")
+		setState(clientRejected, "")
 	case "attempt_ended":
 		switch {
 		case e.Fields["established"] != "true":
@@ -119,9 +119,9 @@
 			delete(c.clients, request)
 		case e.Fields["status"] == "reset":
 			c.host(host).Broken++
-			set(clientBroken, "")
+			setState(clientBroken, "")
 		default:
-			set(clientMigrated, "")
+			setState(clientMigrated, "")
 		}
 	case "load_reported":
 		if ms, ok := reportedDelay(e); ok && ms >= float64(c.objective.Milliseconds()) {
@@ -142,53 +142,53 @@
 // sample counts every client for the time since the last sample.
 func (c *lossCounter) sample(now time.Time) {
 	shares, connected := c.shares()
-	top := 0.0
+	maxShare := 0.0
 	for name, h := range c.hosts {
 		h.MeanShare += shares[name]
 		h.MaxShare = max(h.MaxShare, shares[name])
-		top = max(top, shares[name])
+		maxShare = max(maxShare, shares[name])
 	}
 	if connected > minSpreadConnections {
-		c.spreads = append(c.spreads, top)
+		c.spreads = append(c.spreads, maxShare)
 	}
 	for request, client := range c.clients {
 		if client.state != clientConnected && now.Sub(client.since) > MaxDisconnected {
 			delete(c.clients, request)
 			continue
 		}
-		c.count(client, now, shares)
+		c.addSample(client, now, shares)
 	}
 }
 
 // shares are the hosts' connections over the fleet's mean, for their weight, and how many connections there are.
 func (c *lossCounter) shares() (shares map[string]float64, connected float64) {
-	held := map[string]float64{}
+	connections := map[string]float64{}
 	for _, client := range c.clients {
 		if client.state == clientConnected {
-			held[client.host]++
+			connections[client.host]++
 			connected++
 		}
 	}
-	weights := 0.0
+	totalWeight := 0.0
 	for name := range c.hosts {
-		weights += max(c.weight[name], 0)
+		totalWeight += max(c.weights[name], 0)
 	}
 	shares = map[string]float64{}
-	if weights == 0 || connected == 0 {
+	if totalWeight == 0 || connected == 0 {
 		return shares, connected
 	}
-	mean := connected / weights
+	mean := connected / totalWeight
 	for name := range c.hosts {
-		if c.weight[name] > 0 {
-			shares[name] = held[name] / c.weight[name] / mean
+		if c.weights[name] > 0 {
+			shares[name] = connections[name] / c.weights[name] / mean
 		}
 	}
 	return shares, connected
 }
 
-// count adds one sample of a client to where its time went.
-func (c *lossCounter) count(client *client, now time.Time, shares map[string]float64) {
-	seconds := sampleEvery.Seconds()
+// addSample adds one sample of a client to where its time went.
+func (c *lossCounter) addSample(client *client, now time.Time, shares map[string]float64) {
+	seconds := sampleInterval.Seconds()
 	switch client.state {
 	case clientWaiting:
 		c.loss.Waiting += seconds
@@ -204,7 +204,7 @@
 		switch {
 		case !now.Before(c.slowUntil[client.host]):
 			c.loss.Good += seconds
-		case shares[client.host] > crowdedShare:
+		case shares[client.host] > overloadShare:
 			c.loss.Overloaded += seconds
 			h.Overloaded += seconds
 		default:
@@ -221,11 +221,11 @@
 		c.loss.Hosts = append(c.loss.Hosts, *h)
 	}
 	sort.Slice(c.loss.Hosts, func(i, j int) bool {
-		a, b := c.loss.Hosts[i], c.loss.Hosts[j]
-		if x, y := a.Overloaded+a.Slow, b.Overloaded+b.Slow; x != y {
-			return x > y
+		first, second := c.loss.Hosts[i], c.loss.Hosts[j]
+		if firstSlow, secondSlow := first.Overloaded+first.Slow, second.Overloaded+second.Slow; firstSlow != secondSlow {
+			return firstSlow > secondSlow
 		}
-		return a.Name < b.Name
+		return first.Name < second.Name
 	})
 	if len(c.spreads) > 0 {
 		sort.Float64s(c.spreads)
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -39,7 +39,7 @@
 	}
 	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
 	for i := range max(len(gotLines), len(wantLines)) {
-		if g, w := lineAt(gotLines, i), lineAt(wantLines, i); g != w {
+		if g, w := lineOrEnd(gotLines, i), lineOrEnd(wantLines, i); g != w {
 			t.Fatalf("%s:%d differs\n got %q\nwant %q", path, i+1, g, w)
 		}
 	}
@@ -58,8 +58,8 @@
 // Updating returns whether the test run writes its golden files.
 func Updating() bool { return *update }
 
-// lineAt is line i, or says that the file has ended.
-func lineAt(lines []string, i int) string {
+// lineOrEnd is line i, or says that the file has ended.
+func lineOrEnd(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
 	}
@@ -123,4 +123,4 @@
 }
 
 // InParallel plays the recorded sequences from first to one below end, on all cores, and returns once all have been played.
-func InParallel(first, end int, play func(i int)) { parallel.ForEach(first, end, play) }
+func InParallel(first, end int, run func(i int)) { parallel.ForEach(first, end, run) }
--- a/internal/testbed/parallel/parallel.go
+++ b/internal/testbed/parallel/parallel.go
@@ -7,7 +7,7 @@
 )
 
 // ForEach calls do for each number from first to one below end, in parallel on all cores, and returns once all calls have.
-func ForEach(first, end int, do func(i int)) {
+func ForEach(first, end int, call func(i int)) {
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -15,7 +15,7 @@
 		go func() {
 			defer workers.Done()
 			for i := range next {
-				do(i)
+				call(i)
 			}
 		}()
 	}
--- a/internal/testbed/simulator/adapter.go
+++ b/internal/testbed/simulator/adapter.go
@@ -17,35 +17,35 @@
 
 // Adapter holds the instances of one process, which share nothing.
 type Adapter struct {
-	make      Factory
-	instances map[string]*instance
-	sheets    map[int][]balancer.ListedHost // endpoint lists by number, to which later messages refer
-	reply     reply
+	newBalancer Factory
+	instances   map[string]*instance
+	hostLists   map[int][]balancer.ListedHost // endpoint lists by number, to which later messages refer
+	reply       reply
 }
 
 // NewAdapter makes an adapter that builds its instances with the given factory.
 func NewAdapter(f Factory) *Adapter {
-	return &Adapter{make: f, instances: map[string]*instance{}, sheets: map[int][]balancer.ListedHost{}}
+	return &Adapter{newBalancer: f, instances: map[string]*instance{}, hostLists: map[int][]balancer.ListedHost{}}
 }
 
 var (
-	errNoTime = errors.New("malformed batch: no time")
-	errNoType = errors.New("no event_type")
+	errMissingTime = errors.New("malformed batch: no time")
+	errMissingType = errors.New("no event_type")
 )
 
 // HandleBatch answers one line of events with one line of actions, which is valid until the next call. An error says
 // which message cannot be understood; then there is no reply.
 func (a *Adapter) HandleBatch(line []byte) ([]byte, error) {
-	var in batch
-	if err := json.Unmarshal(line, &in); err != nil {
+	var b batch
+	if err := json.Unmarshal(line, &b); err != nil {
 		return nil, fmt.Errorf("malformed batch: %v", err)
 	}
-	if in.Time == nil {
-		return nil, errNoTime
+	if b.Time == nil {
+		return nil, errMissingTime
 	}
 	a.reply.start()
-	for i := range in.Messages {
-		if err := a.handle(*in.Time, &in.Messages[i]); err != nil {
+	for i := range b.Messages {
+		if err := a.handle(*b.Time, &b.Messages[i]); err != nil {
 			return nil, fmt.Errorf("message %d: %v", i, err)
 		}
 	}
@@ -56,43 +56,43 @@
 func (a *Adapter) handle(now balancer.Time, m *message) error {
 	switch {
 	case m.Type == "":
-		return errNoType
-	case m.Type == typeSheet:
-		return a.storeSheet(m)
-	case !knownTypes[m.Type]:
+		return errMissingType
+	case m.Type == typeHostList:
+		return a.storeHostList(m)
+	case !balancerTypes[m.Type]:
 		return fmt.Errorf("unknown event %q", m.Type)
 	case m.Balancer == "":
-		return missing(m, "balancer")
+		return missingField(m, "balancer")
 	case m.Type == typeStart:
 		return a.startInstance(m)
 	case m.Type == typeExit:
 		delete(a.instances, m.Balancer)
 		return nil
 	}
-	in := a.instances[m.Balancer]
-	if in == nil {
+	inst := a.instances[m.Balancer]
+	if inst == nil {
 		return fmt.Errorf("%s for %q, which has not begun", m.Type, m.Balancer)
 	}
-	if in.failed {
+	if inst.panicked {
 		return nil
 	}
 	a.reply.balancer = m.Balancer
-	e, err := a.decode(in, m)
+	e, err := a.decode(inst, m)
 	if err != nil {
 		return err
 	}
-	a.guard(in, func(b *balancer.Balancer) { e.deliver(b, now) })
+	a.callRecovering(inst, func(b *balancer.Balancer) { e.deliver(b, now) })
 	return nil
 }
 
-// guard reports a panic of an instance as the protocol asks, in place of a crash of the whole process. The
+// callRecovering reports a panic of an instance as the protocol asks, in place of a crash of the whole process. The
 // instance gets no further events.
-func (a *Adapter) guard(in *instance, call func(*balancer.Balancer)) {
+func (a *Adapter) callRecovering(inst *instance, call func(*balancer.Balancer)) {
 	defer func() {
 		if p := recover(); p != nil {
-			in.failed = true
-			a.reply.action("Bug").text("message", fmt.Sprint(p)).end()
+			inst.panicked = true
+			a.reply.begin("Bug").text("message", fmt.Sprint(p)).end()
 		}
 	}()
-	call(in.balancer)
+	call(inst.balancer)
 }
--- a/internal/testbed/simulator/decisions_test.go
+++ b/internal/testbed/simulator/decisions_test.go
@@ -22,33 +22,33 @@
 	second            = int64(1e9)
 )
 
-// outcomes are the endings that an attempt may have before its connection is established.
-var outcomes = []string{"INTERNAL", "RESOURCE_EXHAUSTED", "DEADLINE_EXCEEDED", "UNAVAILABLE", "ABORTED"}
+// failureStatuses are the endings that an attempt may have before its connection is established.
+var failureStatuses = []string{"INTERNAL", "RESOURCE_EXHAUSTED", "DEADLINE_EXCEEDED", "UNAVAILABLE", "ABORTED"}
 
 // sequence plays one generated sequence.
 type sequence struct {
-	seed         int64
-	rng          *rand.Rand
-	adapter      *Adapter
-	now          int64
-	events       int
-	balancers    []string
-	config       map[string]json.RawMessage
-	hosts        []sheetHost
-	sheets       int
-	listVersion  int64
-	due          []dueEvent
-	dueSeq       int
-	requests     []*liveRequest
-	byID         map[string]*liveRequest
-	nextID       int
-	grouped      bool
-	healthChecks bool
-	digest       *golden.Digest
+	seed           int64
+	rng            *rand.Rand
+	adapter        *Adapter
+	now            int64
+	events         int
+	balancers      []string
+	config         map[string]json.RawMessage
+	hosts          []listedHost
+	listNumber     int
+	listVersion    int64
+	scheduled      []scheduledEvent
+	scheduledCount int
+	requests       []*liveRequest
+	byID           map[string]*liveRequest
+	nextID         int
+	hasGroups      bool
+	healthChecks   bool
+	digest         *golden.Digest
 }
 
-// dueEvent is an event that follows from an action after a delay.
-type dueEvent struct {
+// scheduledEvent is an event that follows from an action after a delay.
+type scheduledEvent struct {
 	at    int64
 	order int
 	event map[string]any
@@ -70,21 +70,21 @@
 		s.balancers = append(s.balancers, fmt.Sprintf("B%d", i))
 	}
 	for i := range 3 + s.rng.Intn(12) {
-		s.hosts = append(s.hosts, sheetHost{State: "healthy", Zone: string(rune('a' + i%3)), Weight: 1 + float64(i%4)/2,
+		s.hosts = append(s.hosts, listedHost{State: "healthy", Zone: string(rune('a' + i%3)), Weight: 1 + float64(i%4)/2,
 			ID: fmt.Sprintf("s%02d", i), Kind: "k", Cell: i % 2})
 	}
 	for i, b := range s.balancers {
-		s.config[b] = s.settings(i, instances)
+		s.config[b] = s.configForSeed(i, instances)
 		s.startBalancer(b)
 	}
 	return s
 }
 
-// settings draws one of the shapes that the deployments' settings have: with and without messages between balancers, health checks,
+// configForSeed draws one of the shapes that the deployments' configForSeed have: with and without messages between balancers, health checks,
 // tenants, groups, mid-flow connections, and each kind of idempotency.
-func (s *sequence) settings(instance, instances int) json.RawMessage {
+func (s *sequence) configForSeed(instance, instances int) json.RawMessage {
 	bit := func(n uint) bool { return s.seed>>n&1 == 1 }
-	s.grouped, s.healthChecks = bit(1), s.seed%5 < 2
+	s.hasGroups, s.healthChecks = bit(1), s.seed%5 < 2
 	total := instances
 	if s.seed%7 == 0 {
 		total = 80 // most of them are not simulated
@@ -139,15 +139,15 @@
 
 // startBalancer starts a balancer with the list that it last had.
 func (s *sequence) startBalancer(name string) {
-	sheet := s.sheet(s.hosts)
-	s.deliver(map[string]any{"event_type": "Init", "balancer": name, "salt": s.seed*100 + int64(s.listVersion), "config": s.config[name]}, sheet,
-		map[string]any{"event_type": "Membership", "balancer": name, "form": "restored", "gen": s.listVersion, "sheet": s.sheets})
+	hostList := s.hostList(s.hosts)
+	s.deliver(map[string]any{"event_type": "Init", "balancer": name, "salt": s.seed*100 + int64(s.listVersion), "config": s.config[name]}, hostList,
+		map[string]any{"event_type": "Membership", "balancer": name, "form": "restored", "gen": s.listVersion, "sheet": s.listNumber})
 }
 
-// sheet names a list of hosts for the events that follow.
-func (s *sequence) sheet(hosts []sheetHost) map[string]any {
-	s.sheets++
-	return map[string]any{"event_type": "Directory", "sheet": s.sheets, "elements": hosts}
+// hostList names a list of hosts for the events that follow.
+func (s *sequence) hostList(hosts []listedHost) map[string]any {
+	s.listNumber++
+	return map[string]any{"event_type": "Directory", "sheet": s.listNumber, "elements": hosts}
 }
 
 // deliver gives a batch of events to the adapter and follows its actions.
@@ -158,27 +158,27 @@
 		s.fail("%v", err)
 	}
 	s.digest.Add("%d %s", s.now, reply)
-	s.follow(reply)
+	s.applyReply(reply)
 }
 
-// later has an event come after a delay.
-func (s *sequence) later(delay int64, event map[string]any) {
-	s.dueSeq++
-	s.due = append(s.due, dueEvent{s.now + delay, s.dueSeq, event})
-	sort.Slice(s.due, func(i, j int) bool {
-		return s.due[i].at < s.due[j].at || s.due[i].at == s.due[j].at && s.due[i].order < s.due[j].order
+// schedule has an event come after a delay.
+func (s *sequence) schedule(delay int64, event map[string]any) {
+	s.scheduledCount++
+	s.scheduled = append(s.scheduled, scheduledEvent{s.now + delay, s.scheduledCount, event})
+	sort.Slice(s.scheduled, func(i, j int) bool {
+		return s.scheduled[i].at < s.scheduled[j].at || s.scheduled[i].at == s.scheduled[j].at && s.scheduled[i].order < s.scheduled[j].order
 	})
 }
 
-func (s *sequence) delay(most int64) int64 { return millisecond + s.rng.Int63n(most) }
+func (s *sequence) randomDelay(limit int64) int64 { return millisecond + s.rng.Int63n(limit) }
 
-func (s *sequence) play() string {
+func (s *sequence) run() string {
 	for s.events < eventsPerSequence {
 		s.advance(s.rng.Int63n(30 * millisecond))
 		if s.rng.Intn(40) == 0 {
 			s.advance(s.rng.Int63n(2 * second))
 		}
-		s.step()
+		s.deliverRandomEvent()
 	}
 	return s.digest.String()
 }
@@ -188,7 +188,7 @@
 	lines := make([]string, sequences)
 	golden.InParallel(0, sequences, func(seed int) {
 		s := newSequence(int64(seed))
-		result := s.play()
+		result := s.run()
 		lines[seed] = fmt.Sprintf("seed=%d events=%d %s", seed, s.events, result)
 	})
 	golden.Check(t, "decisions.golden", []byte(strings.Join(lines, "\n")+"\n"))
--- a/internal/testbed/simulator/decode.go
+++ b/internal/testbed/simulator/decode.go
@@ -23,29 +23,29 @@
 	"unavailable": balancer.ListFailed,
 }
 
-func missing(m *message, field string) error { return fmt.Errorf("%s without %s", m.Type, field) }
+func missingField(m *message, field string) error { return fmt.Errorf("%s without %s", m.Type, field) }
 
 // decode checks a message for a running instance and gives its event.
-func (a *Adapter) decode(in *instance, m *message) (event, error) {
+func (a *Adapter) decode(inst *instance, m *message) (event, error) {
 	if err := requireIDs(m); err != nil {
 		return nil, err
 	}
 	switch m.Type {
-	case typeList:
+	case typeListChange:
 		return a.decodeList(m)
 	case typeRequest, typeAdopted:
-		return in.decodeRequest(m)
+		return inst.decodeRequest(m)
 	case typeClientLeft:
 		return clientLeft{request: m.RequestID}, nil
 	case typeHealthCheck, typeAttemptEnded:
 		return decodeStatus(m)
 	case typeTimer:
 		if m.Token == nil {
-			return nil, missing(m, "ref")
+			return nil, missingField(m, "ref")
 		}
 		return timerFired{token: *m.Token}, nil
 	case typeObservation:
-		return observed{request: m.RequestID, attempt: m.Attempt, kind: balancer.Observation(m.Kind), value: m.Value}, nil
+		return observationReceived{request: m.RequestID, attempt: m.Attempt, kind: balancer.Observation(m.Kind), value: m.Value}, nil
 	case typeEstablished:
 		return attemptEstablished{request: m.RequestID, attempt: m.Attempt, elapsed: m.Elapsed}, nil
 	case typePeerMessage:
@@ -63,13 +63,13 @@
 	switch m.Type {
 	case typeRequest, typeClientLeft, typeAdopted, typeObservation, typeAttemptEnded, typeEstablished:
 		if m.RequestID == "" {
-			return missing(m, "request_id")
+			return missingField(m, "request_id")
 		}
 	}
 	switch m.Type {
 	case typeHealthCheck, typeAdopted, typeAttemptEnded, typeEstablished:
 		if m.Host == "" {
-			return missing(m, "server")
+			return missingField(m, "server")
 		}
 	}
 	return nil
@@ -84,11 +84,11 @@
 	if change == balancer.ListFailed {
 		return e, nil
 	}
-	if m.Sheet == nil {
-		return nil, missing(m, "sheet")
+	if m.ListNumber == nil {
+		return nil, missingField(m, "sheet")
 	}
-	if e.hosts, ok = a.sheets[*m.Sheet]; !ok {
-		return nil, fmt.Errorf("message Membership names sheet %d, which was not sent", *m.Sheet)
+	if e.hosts, ok = a.hostLists[*m.ListNumber]; !ok {
+		return nil, fmt.Errorf("message Membership names sheet %d, which was not sent", *m.ListNumber)
 	}
 	return e, nil
 }
@@ -106,13 +106,13 @@
 }
 
 // decodeRequest reads a request, or a connection that is already open.
-func (in *instance) decodeRequest(m *message) (event, error) {
-	r := balancer.Request{ID: m.RequestID, Key: m.Key, Group: m.Group, Tenant: in.tenant(m.Tenant),
+func (inst *instance) decodeRequest(m *message) (event, error) {
+	r := balancer.Request{ID: m.RequestID, Key: m.Key, Group: m.Group, Tenant: inst.tenantIndex(m.Tenant),
 		Retry: m.Flags&flagRetry != 0, MidFlow: m.Flags&flagMidFlow != 0, Returned: m.Flags&flagReturned != 0}
 	if m.Class == nil {
-		return nil, missing(m, "cls")
+		return nil, missingField(m, "cls")
 	}
-	class, ok := in.classes[*m.Class]
+	class, ok := inst.classes[*m.Class]
 	if !ok {
 		return nil, fmt.Errorf("%s of class %q, which the settings do not name", m.Type, *m.Class)
 	}
@@ -120,7 +120,7 @@
 	if m.Remaining != nil {
 		r.Remaining = *m.Remaining
 	} else if m.Type == typeRequest {
-		return nil, missing(m, "remaining")
+		return nil, missingField(m, "remaining")
 	}
 	if m.Flags&flagHint != 0 {
 		r.ExpectedLoad = m.Hint
@@ -131,13 +131,13 @@
 	return requestArrived{request: r}, nil
 }
 
-// tenant is the index of the tenant that a message names; -1: none, or one that the settings do not name.
-func (in *instance) tenant(raw json.RawMessage) int {
+// tenantIndex is the index of the tenantIndex that a message names; -1: none, or one that the settings do not name.
+func (inst *instance) tenantIndex(raw json.RawMessage) int {
 	var name string
 	if len(raw) == 0 || json.Unmarshal(raw, &name) != nil {
 		return -1
 	}
-	if t, ok := in.tenants[name]; ok {
+	if t, ok := inst.tenants[name]; ok {
 		return t
 	}
 	return -1
--- a/internal/testbed/simulator/effects.go
+++ b/internal/testbed/simulator/effects.go
@@ -13,19 +13,19 @@
 	balancer string
 }
 
-func (f *effects) action(name string) *reply {
-	f.reply.balancer = f.balancer
-	return f.reply.action(name)
+func (fx *effects) begin(name string) *reply {
+	fx.reply.balancer = fx.balancer
+	return fx.reply.begin(name)
 }
 
 // StartAttempt implements balancer.Effects.
-func (f *effects) StartAttempt(request, host string, timeout balancer.Time) {
-	f.action("Dispatch").text("request_id", request).text("server", host).number("allow_for", timeout).end()
+func (fx *effects) StartAttempt(request, host string, timeout balancer.Time) {
+	fx.begin("Dispatch").text("request_id", request).text("server", host).number("allow_for", timeout).end()
 }
 
 // Reject implements balancer.Effects.
-func (f *effects) Reject(request string, retryAfter balancer.Time) {
-	w := f.action("Deny").text("request_id", request)
+func (fx *effects) Reject(request string, retryAfter balancer.Time) {
+	w := fx.begin("Deny").text("request_id", request)
 	if retryAfter > 0 {
 		w.number("hold_off", retryAfter)
 	}
@@ -33,22 +33,22 @@
 }
 
 // Fail implements balancer.Effects.
-func (f *effects) Fail(request string) { f.action("Surrender").text("request_id", request).end() }
+func (fx *effects) Fail(request string) { fx.begin("Surrender").text("request_id", request).end() }
 
 // CancelAttempt implements balancer.Effects.
-func (f *effects) CancelAttempt(request string, attempt int) {
-	f.action("Revoke").text("request_id", request).number("seq_no", int64(attempt)).end()
+func (fx *effects) CancelAttempt(request string, attempt int) {
+	fx.begin("Revoke").text("request_id", request).number("seq_no", int64(attempt)).end()
 }
 
 // Migrate implements balancer.Effects.
-func (f *effects) Migrate(request string) { f.action("GoAway").text("request_id", request).end() }
+func (fx *effects) Migrate(request string) { fx.begin("GoAway").text("request_id", request).end() }
 
 // HealthCheck implements balancer.Effects.
-func (f *effects) HealthCheck(host string) { f.action("Sample").text("server", host).end() }
+func (fx *effects) HealthCheck(host string) { fx.begin("Sample").text("server", host).end() }
 
 // SendToPeer implements balancer.Effects.
-func (f *effects) SendToPeer(peer int, data []byte) {
-	w := f.action("MemoTo")
+func (fx *effects) SendToPeer(peer int, data []byte) {
+	w := fx.begin("MemoTo")
 	if peer >= 0 {
 		w.number("dst", int64(peer))
 	}
@@ -56,18 +56,18 @@
 }
 
 // WatchList implements balancer.Effects.
-func (f *effects) WatchList(on bool) { f.action("Subscribe").flag("want", on).end() }
+func (fx *effects) WatchList(on bool) { fx.begin("Subscribe").flag("want", on).end() }
 
 // FetchList implements balancer.Effects.
-func (f *effects) FetchList() { f.action("ReadList").end() }
+func (fx *effects) FetchList() { fx.begin("ReadList").end() }
 
 // Schedule implements balancer.Effects.
-func (f *effects) Schedule(delay balancer.Time, token string) {
-	f.action("Defer").number("after", delay).text("ref", token).end()
+func (fx *effects) Schedule(delay balancer.Time, token string) {
+	fx.begin("Defer").number("after", delay).text("ref", token).end()
 }
 
 // Report implements balancer.Effects.
-func (f *effects) Report(e balancer.Event) { f.action("Print").text("message", eventText(e)).end() }
+func (fx *effects) Report(e balancer.Event) { fx.begin("Print").text("message", eventText(e)).end() }
 
 // eventText is the sentence that an event is in the protocol.
 func eventText(e balancer.Event) string {
--- a/internal/testbed/simulator/event.go
+++ b/internal/testbed/simulator/event.go
@@ -23,8 +23,8 @@
 		status balancer.AttemptStatus
 		load   []float64
 	}
-	timerFired struct{ token string }
-	observed   struct {
+	timerFired          struct{ token string }
+	observationReceived struct {
 		request string
 		attempt int
 		kind    balancer.Observation
@@ -69,7 +69,7 @@
 
 func (e timerFired) deliver(b *balancer.Balancer, now balancer.Time) { b.TimerFired(now, e.token) }
 
-func (e observed) deliver(b *balancer.Balancer, now balancer.Time) {
+func (e observationReceived) deliver(b *balancer.Balancer, now balancer.Time) {
 	b.Observe(now, e.request, e.attempt, e.kind, e.value)
 }
 
--- a/internal/testbed/simulator/instance.go
+++ b/internal/testbed/simulator/instance.go
@@ -13,13 +13,13 @@
 	balancer *balancer.Balancer
 	classes  map[string]int // index by name
 	tenants  map[string]int // index by name
-	failed   bool           // it has panicked
+	panicked bool           // it has panicked
 }
 
-// storeSheet keeps an endpoint list under its number.
-func (a *Adapter) storeSheet(m *message) error {
-	if m.Sheet == nil {
-		return missing(m, "sheet")
+// storeHostList keeps an endpoint list under its number.
+func (a *Adapter) storeHostList(m *message) error {
+	if m.ListNumber == nil {
+		return missingField(m, "sheet")
 	}
 	hosts := make([]balancer.ListedHost, len(m.Hosts))
 	for i, h := range m.Hosts {
@@ -33,14 +33,14 @@
 		hosts[i] = balancer.ListedHost{ID: h.ID, State: state, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
 			Weight: h.Weight, StartedAt: h.StartedAt}
 	}
-	a.sheets[*m.Sheet] = hosts
+	a.hostLists[*m.ListNumber] = hosts
 	return nil
 }
 
 // startInstance makes the balancer that a start message describes, in place of one of the same name.
 func (a *Adapter) startInstance(m *message) error {
 	if len(m.Config) == 0 {
-		return missing(m, "config")
+		return missingField(m, "config")
 	}
 	cfg, err := balancerconfig.Decode(m.Config)
 	if err != nil {
@@ -50,18 +50,18 @@
 	if err != nil {
 		return err
 	}
-	in := &instance{classes: map[string]int{}, tenants: map[string]int{}}
+	inst := &instance{classes: map[string]int{}, tenants: map[string]int{}}
 	for i, c := range cfg.Classes {
-		in.classes[c.Name] = i
+		inst.classes[c.Name] = i
 	}
 	for i, t := range cfg.Tenants {
-		in.tenants[t.Name] = i
+		inst.tenants[t.Name] = i
 	}
-	in.balancer, err = a.make(cfg, seed, &effects{&a.reply, m.Balancer})
+	inst.balancer, err = a.newBalancer(cfg, seed, &effects{&a.reply, m.Balancer})
 	if err != nil {
 		return fmt.Errorf("message Init of %q: %v", m.Balancer, err)
 	}
-	a.instances[m.Balancer] = in
+	a.instances[m.Balancer] = inst
 	return nil
 }
 
--- a/internal/testbed/simulator/instances_test.go
+++ b/internal/testbed/simulator/instances_test.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/balancer"
 )
 
-// hostChanges has a host drain, be removed, come back or restart, and brings it to some balancers.
-func (s *sequence) hostChanges() {
+// changeHost has a host drain, be removed, come back or restart, and brings it to some balancers.
+func (s *sequence) changeHost() {
 	i := s.rng.Intn(len(s.hosts))
 	e := &s.hosts[i]
 	e.State = []string{"healthy", "healthy", "healthy", "cordoned", "deregistered"}[s.rng.Intn(5)]
@@ -16,55 +16,55 @@
 		e.StartedAt = s.now
 	}
 	if s.rng.Intn(6) == 0 {
-		s.hosts = append(s.hosts, sheetHost{State: "healthy", Zone: string(rune('a' + s.rng.Intn(4))), Weight: 1, StartedAt: s.now, ID: fmt.Sprintf("n%d", s.dueSeq), Kind: "k"})
+		s.hosts = append(s.hosts, listedHost{State: "healthy", Zone: string(rune('a' + s.rng.Intn(4))), Weight: 1, StartedAt: s.now, ID: fmt.Sprintf("n%d", s.scheduledCount), Kind: "k"})
 	}
 	s.listVersion++
 	for _, b := range s.balancers {
 		if s.rng.Intn(4) == 0 {
 			continue
 		}
-		s.deliver(s.sheet([]sheetHost{s.hosts[i], s.hosts[len(s.hosts)-1]}), map[string]any{"event_type": "Membership", "balancer": b, "form": "update", "gen": s.listVersion, "sheet": s.sheets})
+		s.deliver(s.hostList([]listedHost{s.hosts[i], s.hosts[len(s.hosts)-1]}), map[string]any{"event_type": "Membership", "balancer": b, "form": "update", "gen": s.listVersion, "sheet": s.listNumber})
 	}
 }
 
-// direct calls a balancer's decision module with what the wire has no event for.
-func (s *sequence) direct(name string, call func(b *balancer.Balancer)) {
+// callBalancer calls a balancer's decision module with what the wire has no event for.
+func (s *sequence) callBalancer(name string, call func(b *balancer.Balancer)) {
 	s.adapter.reply.start()
-	s.adapter.guard(s.adapter.instances[name], call)
+	s.adapter.callRecovering(s.adapter.instances[name], call)
 	reply := s.adapter.reply.finish()
 	s.events++
 	s.digest.Add("%d %s", s.now, reply)
-	s.follow(reply)
+	s.applyReply(reply)
 }
 
-// suspend has an operator suspend a host, or end its suspension.
-func (s *sequence) suspend(name string) {
+// toggleSuspension has an operator toggleSuspension a host, or end its suspension.
+func (s *sequence) toggleSuspension(name string) {
 	e := s.hosts[s.rng.Intn(len(s.hosts))]
 	entry := balancer.ListedHost{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, StartedAt: e.StartedAt}
 	if s.rng.Intn(2) == 0 {
 		entry.State = balancer.Suspended
 	}
-	s.direct(name, func(b *balancer.Balancer) {
+	s.callBalancer(name, func(b *balancer.Balancer) {
 		b.ListReceived(s.now, balancer.ListLocal, []balancer.ListedHost{entry})
 	})
 }
 
 // restart ends a balancer with its connections, and starts it anew.
 func (s *sequence) restart(name string) {
-	s.forget(name)
+	s.dropBalancer(name)
 	s.deliver(map[string]any{"event_type": "Exit", "balancer": name})
 	s.startBalancer(name)
 }
 
-// forget drops the events and requests of a balancer that has ended.
-func (s *sequence) forget(name string) {
-	var due []dueEvent
-	for _, d := range s.due {
+// dropBalancer drops the events and requests of a balancer that has ended.
+func (s *sequence) dropBalancer(name string) {
+	var scheduled []scheduledEvent
+	for _, d := range s.scheduled {
 		if r, ok := d.event["request"].(*liveRequest); d.event["balancer"] != name && (!ok || r.balancer != name) {
-			due = append(due, d)
+			scheduled = append(scheduled, d)
 		}
 	}
-	s.due = due
+	s.scheduled = scheduled
 	var requests []*liveRequest
 	for _, r := range s.requests {
 		if r.balancer != name {
@@ -89,10 +89,10 @@
 		}
 	}
 	s.restart(name)
-	s.direct(name, func(b *balancer.Balancer) { b.Restore(s.now, snapshot) })
+	s.callBalancer(name, func(b *balancer.Balancer) { b.Restore(s.now, snapshot) })
 	for _, r := range open {
-		again, e := s.newRequest("Adopted", name, 0)
-		again.attempt, again.inFlight, again.established, again.host, again.startedAt = 0, true, true, r.host, r.startedAt
+		adopted, e := s.newRequest("Adopted", name, 0)
+		adopted.attempt, adopted.inFlight, adopted.established, adopted.host, adopted.startedAt = 0, true, true, r.host, r.startedAt
 		e["server"] = r.host
 		s.deliver(e)
 	}
--- a/internal/testbed/simulator/message.go
+++ b/internal/testbed/simulator/message.go
@@ -6,8 +6,8 @@
 const (
 	typeStart        = "Init"
 	typeExit         = "Exit"
-	typeSheet        = "Directory"
-	typeList         = "Membership"
+	typeHostList     = "Directory"
+	typeListChange   = "Membership"
 	typeRequest      = "Inbound"
 	typeAdopted      = "Adopted"
 	typeClientLeft   = "ClientLeft"
@@ -23,9 +23,9 @@
 	flagReturned     = 16
 )
 
-// knownTypes are the types that name a balancer.
-var knownTypes = map[string]bool{
-	typeStart: true, typeExit: true, typeList: true, typeRequest: true, typeAdopted: true, typeClientLeft: true,
+// balancerTypes are the types that name a balancer.
+var balancerTypes = map[string]bool{
+	typeStart: true, typeExit: true, typeListChange: true, typeRequest: true, typeAdopted: true, typeClientLeft: true,
 	typeHealthCheck: true, typeTimer: true, typeObservation: true, typeAttemptEnded: true, typeEstablished: true,
 	typePeerMessage: true,
 }
@@ -38,37 +38,37 @@
 
 // message has the fields of all types of messages, so that a line is parsed in one pass; each type uses some.
 type message struct {
-	Type      string          `json:"event_type"`
-	Balancer  string          `json:"balancer"`
-	RequestID string          `json:"request_id"`
-	Host      string          `json:"server"`
-	Attempt   int             `json:"seq_no"`
-	Status    string          `json:"ending"`
-	Elapsed   int64           `json:"elapsed"`
-	Closed    bool            `json:"no_more"`
-	Load      []float64       `json:"gauge"`
-	Hint      float64         `json:"hint"`
-	Key       string          `json:"item"`
-	Tenant    json.RawMessage `json:"party"`
-	Group     string          `json:"channel"`
-	Class     *string         `json:"cls"`
-	Flags     int             `json:"bits"`
-	Remaining *int64          `json:"remaining"`
-	Token     *string         `json:"ref"`
-	Value     float64         `json:"level"`
-	Kind      int             `json:"sort"`
-	Seed      json.Number     `json:"salt"`
-	Config    json.RawMessage `json:"config"`
-	Sheet     *int            `json:"sheet"`
-	Hosts     []sheetHost     `json:"elements"`
-	Change    string          `json:"form"`
-	Version   int64           `json:"gen"` // of the list; decides nothing, but has to be a number
-	Peer      int             `json:"origin_peer"`
-	Contents  string          `json:"contents"` // base64
+	Type       string          `json:"event_type"`
+	Balancer   string          `json:"balancer"`
+	RequestID  string          `json:"request_id"`
+	Host       string          `json:"server"`
+	Attempt    int             `json:"seq_no"`
+	Status     string          `json:"ending"`
+	Elapsed    int64           `json:"elapsed"`
+	Closed     bool            `json:"no_more"`
+	Load       []float64       `json:"gauge"`
+	Hint       float64         `json:"hint"`
+	Key        string          `json:"item"`
+	Tenant     json.RawMessage `json:"party"`
+	Group      string          `json:"channel"`
+	Class      *string         `json:"cls"`
+	Flags      int             `json:"bits"`
+	Remaining  *int64          `json:"remaining"`
+	Token      *string         `json:"ref"`
+	Value      float64         `json:"level"`
+	Kind       int             `json:"sort"`
+	Seed       json.Number     `json:"salt"`
+	Config     json.RawMessage `json:"config"`
+	ListNumber *int            `json:"sheet"`
+	Hosts      []listedHost    `json:"elements"`
+	Change     string          `json:"form"`
+	Version    int64           `json:"gen"` // of the list; decides nothing, but has to be a number
+	Peer       int             `json:"origin_peer"`
+	Contents   string          `json:"contents"` // base64
 }
 
-// sheetHost is a host in an endpoint list.
-type sheetHost struct {
+// listedHost is a host in an endpoint list.
+type listedHost struct {
 	State     string  `json:"stage_state"`
 	Zone      string  `json:"region_part"`
 	Weight    float64 `json:"capacity_hint"`
--- a/internal/testbed/simulator/replies_test.go
+++ b/internal/testbed/simulator/replies_test.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// reported is one action of a reply, with the fields of all kinds.
-type reported struct {
+// replyAction is one action of a reply, with the fields of all kinds.
+type replyAction struct {
 	Type     string `json:"event_type"`
 	Balancer string `json:"balancer"`
 	Request  string `json:"request_id"`
@@ -15,20 +15,20 @@
 	Peer     *int   `json:"dst"`
 }
 
-// follow does what clients, hosts, discovery and the network do upon the actions of a reply.
-func (s *sequence) follow(reply []byte) {
+// applyReply does what clients, hosts, discovery and the network do upon the actions of a reply.
+func (s *sequence) applyReply(reply []byte) {
 	var r struct {
-		Outbox []reported `json:"outbox"`
+		Outbox []replyAction `json:"outbox"`
 	}
 	if err := json.Unmarshal(reply, &r); err != nil {
 		s.fail("%v", err)
 	}
 	for _, a := range r.Outbox {
-		s.followOne(a)
+		s.applyAction(a)
 	}
 }
 
-func (s *sequence) followOne(a reported) {
+func (s *sequence) applyAction(a replyAction) {
 	request := s.byID[a.Balancer+"/"+a.Request]
 	switch a.Type {
 	case "Bug":
@@ -45,29 +45,29 @@
 		}
 	case "Revoke", "GoAway":
 		if request != nil && request.inFlight {
-			s.later(s.delay(50*millisecond), map[string]any{"event_type": "end", "request": request, "ending": "CANCELLED", "attempt": request.attempt})
+			s.schedule(s.randomDelay(50*millisecond), map[string]any{"event_type": "end", "request": request, "ending": "CANCELLED", "attempt": request.attempt})
 			if a.Type == "GoAway" {
-				s.later(s.delay(300*millisecond), map[string]any{"event_type": "return", "balancer": request.balancer})
+				s.schedule(s.randomDelay(300*millisecond), map[string]any{"event_type": "return", "balancer": request.balancer})
 			}
 		}
 	case "Defer":
-		s.later(a.After, map[string]any{"event_type": "Fired", "balancer": a.Balancer, "ref": a.Token})
+		s.schedule(a.After, map[string]any{"event_type": "Fired", "balancer": a.Balancer, "ref": a.Token})
 	case "MemoTo":
-		s.send(a)
+		s.sendToPeers(a)
 	case "Subscribe", "ReadList":
-		s.later(s.delay(200*millisecond), map[string]any{"event_type": "list", "balancer": a.Balancer, "fails": s.rng.Intn(4) == 0})
+		s.schedule(s.randomDelay(200*millisecond), map[string]any{"event_type": "list", "balancer": a.Balancer, "fails": s.rng.Intn(4) == 0})
 	case "Sample":
 		ending := "OK"
 		if s.rng.Intn(8) == 0 {
 			ending = "DEADLINE_EXCEEDED"
 		}
-		s.later(s.delay(40*millisecond), map[string]any{"event_type": "HealthResult", "balancer": a.Balancer, "server": a.Host, "ending": ending, "elapsed": millisecond,
+		s.schedule(s.randomDelay(40*millisecond), map[string]any{"event_type": "HealthResult", "balancer": a.Balancer, "server": a.Host, "ending": ending, "elapsed": millisecond,
 			"gauge": []float64{s.rng.Float64() * 1.3, s.rng.Float64() / 4}})
 	}
 }
 
-// send carries a message to other balancers; one in ten is lost.
-func (s *sequence) send(a reported) {
+// sendToPeers carries a message to other balancers; one in ten is lost.
+func (s *sequence) sendToPeers(a replyAction) {
 	from := 0
 	for i, b := range s.balancers {
 		if b == a.Balancer {
@@ -78,38 +78,38 @@
 		if i == from || a.Peer != nil && *a.Peer != i || s.rng.Intn(10) == 0 {
 			continue
 		}
-		s.later(s.delay(20*millisecond), map[string]any{"event_type": "Memo", "balancer": b, "origin_peer": from, "contents": a.Contents})
+		s.schedule(s.randomDelay(20*millisecond), map[string]any{"event_type": "Memo", "balancer": b, "origin_peer": from, "contents": a.Contents})
 	}
 }
 
 // advance lets time pass, and brings the events that are due.
 func (s *sequence) advance(by int64) {
 	end := s.now + by
-	for len(s.due) > 0 && s.due[0].at <= end && s.events < eventsPerSequence {
-		d := s.due[0]
-		s.due = s.due[1:]
+	for len(s.scheduled) > 0 && s.scheduled[0].at <= end && s.events < eventsPerSequence {
+		d := s.scheduled[0]
+		s.scheduled = s.scheduled[1:]
 		s.now = max(s.now, d.at)
-		s.arrive(d.event)
+		s.deliverScheduled(d.event)
 	}
 	s.now = end
 	s.endOverdueAttempts()
 }
 
-func (s *sequence) arrive(event map[string]any) {
+func (s *sequence) deliverScheduled(event map[string]any) {
 	switch event["event_type"] {
 	case "end":
 		if r := event["request"].(*liveRequest); r.inFlight && r.attempt == event["attempt"].(int) {
-			s.end(r, event["ending"].(string))
+			s.endAttempt(r, event["ending"].(string))
 		}
 	case "return":
-		s.inbound(event["balancer"].(string), flagReturned)
+		s.arriveRequest(event["balancer"].(string), flagReturned)
 	case "list":
 		if event["fails"].(bool) {
 			s.deliver(map[string]any{"event_type": "Membership", "balancer": event["balancer"], "form": "unavailable"})
 			return
 		}
 		s.listVersion++
-		s.deliver(s.sheet(s.hosts), map[string]any{"event_type": "Membership", "balancer": event["balancer"], "form": "replace", "gen": s.listVersion, "sheet": s.sheets})
+		s.deliver(s.hostList(s.hosts), map[string]any{"event_type": "Membership", "balancer": event["balancer"], "form": "replace", "gen": s.listVersion, "sheet": s.listNumber})
 	default:
 		s.deliver(event)
 	}
@@ -119,13 +119,13 @@
 func (s *sequence) endOverdueAttempts() {
 	for _, r := range s.requests {
 		if r.inFlight && !r.established && r.timeout > 0 && s.now >= r.startedAt+r.timeout {
-			s.end(r, "DEADLINE_EXCEEDED")
+			s.endAttempt(r, "DEADLINE_EXCEEDED")
 		}
 	}
 }
 
-// end ends an attempt, or its connection.
-func (s *sequence) end(r *liveRequest, ending string) {
+// endAttempt ends an attempt, or its connection.
+func (s *sequence) endAttempt(r *liveRequest, ending string) {
 	wasEstablished := r.established
 	r.inFlight, r.established = false, false
 	closed := r.closed || wasEstablished || ending == "OK" || ending == "CANCELLED"
--- a/internal/testbed/simulator/reply.go
+++ b/internal/testbed/simulator/reply.go
@@ -7,14 +7,14 @@
 
 // reply builds a line of actions, which is written only once it is complete. Its buffer is reused.
 type reply struct {
-	buf      []byte
-	any      bool   // it holds an action
-	balancer string // that acts
+	buf        []byte
+	hasActions bool   // it holds an action
+	balancer   string // that acts
 }
 
 func (w *reply) start() {
 	w.buf = append(w.buf[:0], `{"outbox":[`...)
-	w.any = false
+	w.hasActions = false
 }
 
 func (w *reply) finish() []byte {
@@ -22,12 +22,12 @@
 	return w.buf
 }
 
-// action begins an action; end ends it.
-func (w *reply) action(name string) *reply {
-	if w.any {
+// begin begins an begin; end ends it.
+func (w *reply) begin(name string) *reply {
+	if w.hasActions {
 		w.buf = append(w.buf, ',')
 	}
-	w.any = true
+	w.hasActions = true
 	w.buf = append(w.buf, `{"event_type":"`...)
 	w.buf = append(w.buf, name...)
 	w.buf = append(w.buf, '"')
--- a/internal/testbed/simulator/requests_test.go
+++ b/internal/testbed/simulator/requests_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-func (s *sequence) balancer() string { return s.balancers[s.rng.Intn(len(s.balancers))] }
+func (s *sequence) randomBalancer() string { return s.balancers[s.rng.Intn(len(s.balancers))] }
 
 // newRequest makes the fields that an arriving request and an adopted connection share.
 func (s *sequence) newRequest(kind, name string, bits int) (*liveRequest, map[string]any) {
@@ -16,7 +16,7 @@
 	classes := 1 + int(s.seed%3)
 	e := map[string]any{"event_type": kind, "balancer": name, "request_id": r.id, "cls": fmt.Sprintf("c%d", s.rng.Intn(classes)),
 		"remaining": (200 + s.rng.Int63n(1800)) * millisecond, "item": fmt.Sprintf("key%d", s.rng.Intn(50)), "party": fmt.Sprintf("t%d", s.rng.Intn(3))}
-	if s.grouped && s.rng.Intn(4) > 0 {
+	if s.hasGroups && s.rng.Intn(4) > 0 {
 		e["channel"] = fmt.Sprintf("g%d", s.rng.Intn(8))
 	}
 	if s.rng.Intn(2) == 0 {
@@ -30,44 +30,44 @@
 	return r, e
 }
 
-func (s *sequence) inbound(name string, bits int) {
+func (s *sequence) arriveRequest(name string, bits int) {
 	_, e := s.newRequest("Inbound", name, bits)
 	s.deliver(e)
 }
 
-// step brings one drawn event.
-func (s *sequence) step() {
+// deliverRandomEvent brings one drawn event.
+func (s *sequence) deliverRandomEvent() {
 	switch draw := s.rng.Intn(100); {
 	case draw < 42:
 		bits := 0
 		if s.rng.Intn(5) == 0 {
 			bits = flagRetry
 		}
-		s.inbound(s.balancer(), bits)
+		s.arriveRequest(s.randomBalancer(), bits)
 	case draw < 80:
-		s.progress()
+		s.progressAttempt()
 	case draw < 84:
-		s.clientLeaves()
+		s.leaveClient()
 	case draw < 93:
-		s.hostChanges()
+		s.changeHost()
 	case draw < 95:
-		r, e := s.newRequest("Adopted", s.balancer(), 0)
+		r, e := s.newRequest("Adopted", s.randomBalancer(), 0)
 		r.attempt, r.inFlight, r.established, r.host, r.startedAt = 0, true, true, s.hosts[s.rng.Intn(len(s.hosts))].ID, s.now
 		e["server"] = r.host
 		s.deliver(e)
 	case draw < 97:
-		s.suspend(s.balancer())
+		s.toggleSuspension(s.randomBalancer())
 	case draw < 98:
-		s.deliver(map[string]any{"event_type": "Memo", "balancer": s.balancer(), "origin_peer": 0, "contents": base64.StdEncoding.EncodeToString([]byte{byte(s.rng.Intn(20)), 2, 3, 4, 5, 6})})
+		s.deliver(map[string]any{"event_type": "Memo", "balancer": s.randomBalancer(), "origin_peer": 0, "contents": base64.StdEncoding.EncodeToString([]byte{byte(s.rng.Intn(20)), 2, 3, 4, 5, 6})})
 	case draw < 99:
-		s.hotRestart(s.balancer())
+		s.hotRestart(s.randomBalancer())
 	default:
-		s.restart(s.balancer())
+		s.restart(s.randomBalancer())
 	}
 }
 
-// progress moves on an attempt that is in flight, or its connection.
-func (s *sequence) progress() {
+// progressAttempt moves on an attempt that is in flight, or its connection.
+func (s *sequence) progressAttempt() {
 	var inFlight []*liveRequest
 	for _, r := range s.requests {
 		if r.inFlight {
@@ -86,16 +86,16 @@
 		}
 		s.deliver(e)
 	case r.established:
-		s.end(r, []string{"OK", "OK", "ABORTED", "CANCELLED"}[s.rng.Intn(4)])
+		s.endAttempt(r, []string{"OK", "OK", "ABORTED", "CANCELLED"}[s.rng.Intn(4)])
 	case s.rng.Intn(5) < 3 && !r.closed:
 		r.established = true
 		s.deliver(map[string]any{"event_type": "Streaming", "balancer": r.balancer, "request_id": r.id, "seq_no": r.attempt, "server": r.host, "elapsed": s.now - r.startedAt})
 	default:
-		s.end(r, outcomes[s.rng.Intn(len(outcomes))])
+		s.endAttempt(r, failureStatuses[s.rng.Intn(len(failureStatuses))])
 	}
 }
 
-func (s *sequence) clientLeaves() {
+func (s *sequence) leaveClient() {
 	var waiting []*liveRequest
 	for _, r := range s.requests {
 		if !r.closed && !r.established {
