--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -17,9 +17,9 @@
 	Kind        string                      `json:"Kind"`
 	Listen      string                      `json:"Listen,omitempty"`
 	Snapshot    *proxy.Snapshot             `json:"Kept,omitempty"`
-	Datagram    bool                        `json:"Datagram,omitempty"`
-	ID          string                      `json:"ID,omitempty"`
-	Out         bool                        `json:"Out,omitempty"`
+	HasDatagram bool                        `json:"Datagram,omitempty"`
+	HostID      string                      `json:"ID,omitempty"`
+	Suspended   bool                        `json:"Out,omitempty"`
 	Downstreams int                         `json:"Sessions,omitempty"`
 	Connection  *proxy.HandedOverConnection `json:"Standing,omitempty"`
 	Reason      string                      `json:"Reason,omitempty"`
@@ -55,7 +55,7 @@
 type welcome struct{ Handoff }
 
 func (m welcome) envelope() envelope {
-	return envelope{Kind: kindWelcome, Snapshot: m.Snapshot, Datagram: m.DatagramFD >= 0}
+	return envelope{Kind: kindWelcome, Snapshot: m.Snapshot, HasDatagram: m.DatagramFD >= 0}
 }
 
 func (m welcome) descriptors() []int {
@@ -95,7 +95,7 @@
 }
 
 func (m hostSuspended) envelope() envelope {
-	return envelope{Kind: kindSuspended, ID: m.hostID, Out: m.suspended}
+	return envelope{Kind: kindSuspended, HostID: m.hostID, Suspended: m.suspended}
 }
 
 // listChanged, from the old process to the new, carries an endpoint list received after the handover.
@@ -139,9 +139,9 @@
 // that belong to the message; decode closes all others.
 func decode(e *envelope, fds []int) message {
 	switch {
-	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 1 && !e.Datagram:
+	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 1 && !e.HasDatagram:
 		return welcome{Handoff{Snapshot: e.Snapshot, ListenerFD: fds[0], DatagramFD: -1}}
-	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 2 && e.Datagram:
+	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 2 && e.HasDatagram:
 		return welcome{Handoff{Snapshot: e.Snapshot, ListenerFD: fds[0], DatagramFD: fds[1]}}
 	case e.Kind == kindConnection && e.Connection != nil && len(fds) == 2:
 		e.Connection.Downstream.FD, e.Connection.Upstream.FD = fds[0], fds[1]
@@ -158,7 +158,7 @@
 	case kindTakenOver:
 		return takenOver{snapshot: e.Snapshot}
 	case kindSuspended:
-		return hostSuspended{hostID: e.ID, suspended: e.Out}
+		return hostSuspended{hostID: e.HostID, suspended: e.Suspended}
 	case kindList:
 		return listChanged{snapshot: e.Snapshot}
 	case kindDownstreams:
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -95,13 +95,13 @@
 			t.Fatalf("ReadState after 20 s = %+v, %v, want revision 8 with one suspension", k, err)
 		}
 	}
-	half := filepath.Join(dir, "."+stateFile+".123")
-	if err := os.WriteFile(half, []byte("croftlock-st"), 0o600); err != nil {
+	incompletePath := filepath.Join(dir, "."+stateFile+".123")
+	if err := os.WriteFile(incompletePath, []byte("croftlock-st"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	NewStore(l, dir)
-	if _, err := os.Stat(half); !os.IsNotExist(err) {
-		t.Errorf("Stat(%q): error %v, want that the incomplete file was removed", half, err)
+	if _, err := os.Stat(incompletePath); !os.IsNotExist(err) {
+		t.Errorf("Stat(%q): error %v, want that the incomplete file was removed", incompletePath, err)
 	}
 }
 
@@ -185,9 +185,9 @@
 	expectRevision(9)
 }
 
-// TestBrokenOffAnswerIsAnError checks that RequestHandover returns an error other than ErrBusy if the
+// TestConnectionClosedBeforeAnswer checks that RequestHandover returns an error other than ErrBusy if the
 // process that serves closes the connection before it answers: it may hand over when asked again.
-func TestBrokenOffAnswerIsAnError(t *testing.T) {
+func TestConnectionClosedBeforeAnswer(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, socketName))
 	if err != nil {
--- a/internal/dataplane/upstreamtls/backpressure_test.go
+++ b/internal/dataplane/upstreamtls/backpressure_test.go
@@ -18,7 +18,7 @@
 // floodingServer accepts one connection and sends data on it as fast as the connection accepts it.
 type floodingServer struct {
 	net.Listener
-	sent    []byte
+	data    []byte
 	written atomic.Int64
 }
 
@@ -31,8 +31,8 @@
 		e.t.Fatal(err)
 	}
 	e.t.Cleanup(func() { l.Close() })
-	f := &floodingServer{Listener: l, sent: make([]byte, size)}
-	rand.New(rand.NewSource(1)).Read(f.sent)
+	f := &floodingServer{Listener: l, data: make([]byte, size)}
+	rand.New(rand.NewSource(1)).Read(f.data)
 	go f.flood()
 	return f
 }
@@ -44,7 +44,7 @@
 		return
 	}
 	c.(*tls.Conn).NetConn().(*net.TCPConn).SetWriteBuffer(16 << 10) // otherwise the kernel buffers megabytes
-	for p := f.sent; len(p) > 0; {
+	for p := f.data; len(p) > 0; {
 		n := min(len(p), 1000+len(p)%20000)
 		m, err := c.Write(p[:n])
 		f.written.Add(int64(m))
@@ -74,9 +74,9 @@
 	server := e.newFloodingServer(8 << 20)
 	var got []byte
 	reading := false
-	most := 0
+	maxBuffered := 0
 	c := e.dialWith(server.Addr().String(), 5*time.Second, func(n *netio.Conn) {
-		most = max(most, len(n.Input())+n.Layer().Buffered())
+		maxBuffered = max(maxBuffered, len(n.Input())+n.Layer().Buffered())
 		if reading {
 			k := min(3000, len(n.Input()))
 			got = append(got, n.Input()[:k]...)
@@ -101,12 +101,12 @@
 		t.Errorf("connection ended by %v, want cause %v", err, netio.Ended)
 	}
 	e.onLoop(func() {
-		sent := server.sent
+		sent := server.data
 		if !bytes.Equal(got, sent[:len(got)]) || len(sent)-len(got) > 8192 {
 			t.Errorf("received %d of %d bytes, equal to those sent: %t; want all but at most 8192, and equal", len(got), len(sent), bytes.Equal(got, sent[:len(got)]))
 		}
-		if most > 4096+maxSealedBytes+8*kernelBuffer {
-			t.Errorf("%d bytes were buffered, want at most %d", most, 4096+maxSealedBytes+8*kernelBuffer)
+		if maxBuffered > 4096+maxSealedBytes+8*kernelBuffer {
+			t.Errorf("%d bytes were buffered, want at most %d", maxBuffered, 4096+maxSealedBytes+8*kernelBuffer)
 		}
 	})
 }
--- a/internal/dataplane/upstreamtls/dialer_test.go
+++ b/internal/dataplane/upstreamtls/dialer_test.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestDrop checks that a dial cancelled during its handshake leaves nothing behind, and that done is not
+// TestCancel checks that a dial cancelled during its handshake leaves nothing behind, and that done is not
 // called.
-func TestDrop(t *testing.T) {
+func TestCancel(t *testing.T) {
 	e := newEnv(t, nil)
 	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Serve: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, e.pki)
 	if err != nil {
@@ -94,7 +94,7 @@
 				func(*netio.Conn, *netio.Error) { t.Error("done was called after the dial was cancelled") }))
 		}
 	})
-	for end := time.Now().Add(5 * time.Second); bad.Connections.Load() < int64(e.opt.Handshakes.MaxInFlightPerHost) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); bad.Connections.Load() < int64(e.options.Handshakes.MaxInFlightPerHost) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	e.onLoop(func() {
@@ -118,7 +118,7 @@
 // and not at its deadline.
 func TestNoBudget(t *testing.T) {
 	e := newEnv(t, func(e *env) {
-		e.opt.Handshakes = handshake.Limits{HostRate: 1, MaxInFlight: 2, Burst: time.Millisecond, MaxQueued: 100}
+		e.options.Handshakes = handshake.Limits{HostRate: 1, MaxInFlight: 2, Burst: time.Millisecond, MaxQueued: 100}
 	})
 	s := e.newServer(nil)
 	if c := e.dial(s.Addr(), 5*time.Second); c.err != nil {
--- a/internal/dataplane/upstreamtls/env_test.go
+++ b/internal/dataplane/upstreamtls/env_test.go
@@ -22,7 +22,7 @@
 	t         *testing.T
 	dir       string
 	pki       *fake.PKI
-	opt       Options
+	options   Options
 	loop      *netio.Loop
 	dialer    *Dialer
 	clockSkew atomic.Int64 // how far the wall clock is ahead, in nanoseconds
@@ -35,20 +35,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &env{t: t, dir: t.TempDir(), pki: pki, opt: Defaults(), loop: netio.NewLoop()}
-	e.opt.Enabled, e.opt.Pattern = true, "{uid}.test"
+	e := &env{t: t, dir: t.TempDir(), pki: pki, options: Defaults(), loop: netio.NewLoop()}
+	e.options.Enabled, e.options.Pattern = true, "{uid}.test"
 	trust, err := fake.SaveTrustBundle(e.dir, pki.Trusted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.opt.Trust = []string{trust}
+	e.options.Trust = []string{trust}
 	if change != nil {
 		change(e)
 	}
 	if err := netio.Attach(e.loop); err != nil {
 		t.Fatal(err)
 	}
-	m, err := Load(e.opt, 1)
+	m, err := Load(e.options, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,8 +57,8 @@
 	return e
 }
 
-// file writes a file into the directory and returns its path.
-func (e *env) file(file string, data []byte) string {
+// writeFile writes a file into the directory and returns its path.
+func (e *env) writeFile(file string, data []byte) string {
 	e.t.Helper()
 	path := filepath.Join(e.dir, file)
 	if err := certs.ReplaceFile(path, data, 0o600); err != nil {
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -74,7 +74,7 @@
 var rejectionAlerts = map[uint64]bool{40: true, 42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
 
 const (
-	alertVersion          = 70
+	alertProtocolVersion  = 70
 	alertUnrecognizedName = 112 // unrecognized_name: the host has no certificate for the requested name
 )
 
@@ -90,9 +90,9 @@
 	return 0, false
 }
 
-// classifyHandshakeError returns the failure for an error of crypto/tls. received reports whether the
+// classifyTLSError returns the failure for an error of crypto/tls. received reports whether the
 // peer had sent anything.
-func classifyHandshakeError(err error, received bool) *Failure {
+func classifyTLSError(err error, received bool) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
 		return f
@@ -106,7 +106,7 @@
 	var timeout net.Error
 	text := err.Error()
 	switch code, alert := peerAlert(err); {
-	case alert && code == alertVersion:
+	case alert && code == alertProtocolVersion:
 		f.Reason = OldVersion
 	case alert && code == alertUnrecognizedName:
 		f.Reason, f.Step = NoCertificate, "certificate"
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -25,9 +25,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				e.opt.CRLs = []string{e.file("crl.pem", crl)}
+				e.options.CRLs = []string{e.writeFile("crl.pem", crl)}
 				if f.TLS12 {
-					e.opt.MinVersion = "1.2"
+					e.options.MinVersion = "1.2"
 				}
 			})
 			bad, err := fake.NewBadServer(f, e.pki)
@@ -64,7 +64,9 @@
 // TestOldVersionAndURI checks that a TLS 1.2 server is accepted if the operators allow it, and that a URI
 // name must match exactly.
 func TestOldVersionAndURI(t *testing.T) {
-	e := newEnv(t, func(e *env) { e.opt.MinVersion, e.opt.Pattern, e.opt.URI = "1.2", "", "spiffe://valley/{zone}/{uid}" })
+	e := newEnv(t, func(e *env) {
+		e.options.MinVersion, e.options.Pattern, e.options.URI = "1.2", "", "spiffe://valley/{zone}/{uid}"
+	})
 	for uri, want := range map[string]Reason{"spiffe://valley/a/s1": "", "spiffe://valley/a/s10": WrongName} {
 		config, err := e.pki.Trusted.NewServerTLSConfig(uri)
 		if err != nil {
@@ -101,9 +103,9 @@
 		if _, err := e.pki.Trusted.SaveClientCertificate(e.dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(30 * time.Minute)}); err != nil {
 			t.Fatal(err)
 		}
-		e.opt.Certificate, e.opt.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
+		e.options.Certificate, e.options.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
 		crl, _ := e.pki.CRL(time.Now().Add(45 * time.Minute))
-		e.opt.CRLs = []string{e.file("crl.pem", crl)}
+		e.options.CRLs = []string{e.writeFile("crl.pem", crl)}
 	})
 	s := e.newServer(nil)
 	for skew, want := range map[time.Duration]Reason{0: "", 35 * time.Minute: OwnCertificateExpired, 50 * time.Minute: OwnTrustUnusable} {
@@ -126,7 +128,7 @@
 func TestFilesThatCannotBeUsed(t *testing.T) {
 	e := newEnv(t, nil)
 	pair, _ := e.pki.Trusted.SaveClientCertificate(e.dir, certs.Spec{Name: "proxy"})
-	good := e.opt
+	good := e.options
 	good.Certificate, good.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
 	if _, err := Load(good, 1); err != nil {
 		t.Fatal(err)
@@ -140,17 +142,21 @@
 		change func(o *Options)
 		want   string
 	}{
-		"no such file":           {func(o *Options) { o.Trust = []string{"/nowhere"} }, "no such file"},
-		"half a bundle":          {func(o *Options) { o.Trust = []string{e.file("half", fake.TruncatedPEM(e.pki.Trusted.Root.Cert))} }, "half written"},
-		"empty bundle":           {func(o *Options) { o.Trust = []string{e.file("empty", nil)} }, "no certificate in it"},
-		"a leaf for trust":       {func(o *Options) { o.Trust = []string{e.file("leaf", leaf.PEM())} }, "no authority's"},
-		"key in the bundle":      {func(o *Options) { o.Trust = []string{e.file("mixed", append(pair.PEM(), key...))} }, "expected CERTIFICATE only"},
-		"another's key":          {func(o *Options) { o.Key = e.file("other.key", leafKey) }, "does not belong"},
-		"a server's pair":        {func(o *Options) { o.Certificate, o.Key = e.file("s.pem", leaf.PEM()), e.file("s.key", leafKey) }, "not for clients"},
-		"encrypted, no password": {func(o *Options) { o.Key = e.file("c.key", crypted) }, "no password file"},
-		"wrong password":         {func(o *Options) { o.Key, o.KeyPasswordFile = e.file("c.key", crypted), e.file("word", []byte("wrong")) }, "no private key"},
-		"foreign list":           {func(o *Options) { o.CRLs = []string{e.file("f.crl", foreign)} }, "none of the trusted"},
-		"no list":                {func(o *Options) { o.CRLs = []string{e.file("n.crl", []byte("x"))} }, "revocation list 1"},
+		"no such file":      {func(o *Options) { o.Trust = []string{"/nowhere"} }, "no such file"},
+		"half a bundle":     {func(o *Options) { o.Trust = []string{e.writeFile("half", fake.TruncatedPEM(e.pki.Trusted.Root.Cert))} }, "half written"},
+		"empty bundle":      {func(o *Options) { o.Trust = []string{e.writeFile("empty", nil)} }, "no certificate in it"},
+		"a leaf for trust":  {func(o *Options) { o.Trust = []string{e.writeFile("leaf", leaf.PEM())} }, "no authority's"},
+		"key in the bundle": {func(o *Options) { o.Trust = []string{e.writeFile("mixed", append(pair.PEM(), key...))} }, "expected CERTIFICATE only"},
+		"another's key":     {func(o *Options) { o.Key = e.writeFile("other.key", leafKey) }, "does not belong"},
+		"a server's pair": {func(o *Options) {
+			o.Certificate, o.Key = e.writeFile("s.pem", leaf.PEM()), e.writeFile("s.key", leafKey)
+		}, "not for clients"},
+		"encrypted, no password": {func(o *Options) { o.Key = e.writeFile("c.key", crypted) }, "no password file"},
+		"wrong password": {func(o *Options) {
+			o.Key, o.KeyPasswordFile = e.writeFile("c.key", crypted), e.writeFile("word", []byte("wrong"))
+		}, "no private key"},
+		"foreign list": {func(o *Options) { o.CRLs = []string{e.writeFile("f.crl", foreign)} }, "none of the trusted"},
+		"no list":      {func(o *Options) { o.CRLs = []string{e.writeFile("n.crl", []byte("x"))} }, "revocation list 1"},
 	} {
 		o := good
 		x.change(&o)
@@ -160,7 +166,7 @@
 		}
 	}
 	o := good
-	o.Key, o.KeyPasswordFile = e.file("c.key", crypted), e.file("word", []byte("secret words\n"))
+	o.Key, o.KeyPasswordFile = e.writeFile("c.key", crypted), e.writeFile("word", []byte("secret words\n"))
 	if _, err := Load(o, 1); err != nil {
 		t.Errorf("Load with the right password: %v", err)
 	}
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -84,9 +84,9 @@
 
 func (l *loader) addFault(err error) { l.faults = append(l.faults, err) }
 
-// read returns the content of a file and adds it to the digest. It returns nil after an error, which it
+// addFile returns the content of a file and adds it to the digest. It returns nil after an error, which it
 // adds to the faults.
-func (l *loader) read(path string) []byte {
+func (l *loader) addFile(path string) []byte {
 	data, err := certs.ReadFile(path)
 	if err != nil {
 		l.addFault(err)
@@ -97,7 +97,7 @@
 
 // loadBundle loads the trusted authorities in a file.
 func (l *loader) loadBundle(path string) {
-	data := l.read(path)
+	data := l.addFile(path)
 	if data == nil {
 		return
 	}
@@ -118,7 +118,7 @@
 
 // loadRevocations loads the revocation lists in a file. The bundles must be loaded before.
 func (l *loader) loadRevocations(path string) {
-	data := l.read(path)
+	data := l.addFile(path)
 	if data == nil {
 		return
 	}
@@ -134,7 +134,7 @@
 
 // loadCertificate loads the proxy's own certificate chain and key.
 func (l *loader) loadCertificate(o Options) {
-	l.read(o.Certificate)
+	l.addFile(o.Certificate)
 	pair, err := certs.LoadPair(o.Certificate, o.Key, o.KeyPasswordFile)
 	if err != nil {
 		l.addFault(err)
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -18,13 +18,13 @@
 func TestWatcher(t *testing.T) {
 	e := newEnv(t, func(e *env) {
 		e.pki.Trusted.SaveClientCertificate(e.dir, certs.Spec{Name: "proxy"})
-		e.opt.Certificate, e.opt.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
+		e.options.Certificate, e.options.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
 	})
-	m, err := Load(e.opt, 1)
+	m, err := Load(e.options, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := watcher{current: m, options: e.opt, fingerprint: fileFingerprint(e.opt.Files())}
+	w := watcher{current: m, options: e.options, fingerprint: fileFingerprint(e.options.Files())}
 	poll := func(want bool) *Material {
 		t.Helper()
 		next := w.poll(false, time.Now())
@@ -36,31 +36,31 @@
 	poll(false)
 	// A bundle written in place is read when only part of it is written.
 	bundle := append(certs.EncodeBundle(e.pki.Trusted.Root.Cert), certs.EncodeBundle(e.pki.Other.Root.Cert)...)
-	os.WriteFile(e.opt.Trust[0], bundle[:len(bundle)-100], 0o644)
+	os.WriteFile(e.options.Trust[0], bundle[:len(bundle)-100], 0o644)
 	poll(false)
 	if !strings.Contains(w.lastFault, "half written") {
 		t.Errorf("last fault = %q, want one that contains %q", w.lastFault, "half written")
 	}
-	os.WriteFile(e.opt.Trust[0], bundle, 0o644)
+	os.WriteFile(e.options.Trust[0], bundle, 0o644)
 	if next := poll(true); next.authorities != 2 || next.Epoch != 2 || w.lastFault != "" {
 		t.Errorf("new material has %d authorities, epoch %d, last fault %q; want 2, epoch 2, no fault", next.authorities, next.Epoch, w.lastFault)
 	}
 	poll(false)
 	// A certificate is replaced before its key.
 	pair, _ := e.pki.Other.Issue(certs.Spec{Name: "new", Client: true})
-	certs.ReplaceFile(e.opt.Certificate, pair.PEM(), 0o644)
+	certs.ReplaceFile(e.options.Certificate, pair.PEM(), 0o644)
 	poll(false)
 	key, _ := pair.KeyPEM(nil)
-	certs.ReplaceFile(e.opt.Key, key, 0o600)
+	certs.ReplaceFile(e.options.Key, key, 0o600)
 	if next := poll(true); next.certificate.Leaf.SerialNumber.Cmp(pair.Cert.SerialNumber) != 0 {
 		t.Error("the new certificate is not in use")
 	}
 	// The same content in a new inode is not a replacement.
-	certs.ReplaceFile(e.opt.Key, key, 0o600)
+	certs.ReplaceFile(e.options.Key, key, 0o600)
 	poll(false)
-	os.Remove(e.opt.Key)
+	os.Remove(e.options.Key)
 	poll(false)
-	certs.ReplaceFile(e.opt.Key, key, 0o600)
+	certs.ReplaceFile(e.options.Key, key, 0o600)
 	poll(false)
 }
 
@@ -79,7 +79,7 @@
 		t.Fatal("want a full handshake, then a resumed one")
 	}
 	fake.SaveTrustBundle(e.dir, e.pki.Trusted, e.pki.Other)
-	m, err := Load(e.opt, 2)
+	m, err := Load(e.options, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 	if !resumed() {
 		t.Error("no session of the new epoch was resumed")
 	}
-	o := e.opt
+	o := e.options
 	o.Names = map[string]string{"s1": "s2.test"}
 	if m, err = Load(o, 2); err != nil { // the same epoch, so that only the name differs
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 	s := e.newServer(nil)
 	c := e.openRequest(s.Addr())
 	fake.SaveTrustBundle(e.dir, e.pki.Other)
-	m, err := Load(e.opt, 2)
+	m, err := Load(e.options, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -58,7 +58,7 @@
 	if err == nil || errors.Is(err, io.EOF) {
 		return n, err
 	}
-	f := classifyHandshakeError(err, true)
+	f := classifyTLSError(err, true)
 	late := f.Reason == RejectedByHost && !s.dataReceived
 	if late {
 		err = &lateRejection{f}
--- a/internal/dataplane/upstreamtls/worker.go
+++ b/internal/dataplane/upstreamtls/worker.go
@@ -88,7 +88,7 @@
 	s = &session{socket: w, tlsConn: tls.Client(w, j.peer.config)}
 	err = s.tlsConn.Handshake()
 	if err != nil {
-		return nil, -1, 0, classifyHandshakeError(err, w.received)
+		return nil, -1, 0, classifyTLSError(err, w.received)
 	}
 	s.resumed, s.certificateNotAfter = s.tlsConn.ConnectionState().DidResume, j.peer.notAfter()
 	fd, err = detachSocket(raw.(*net.TCPConn))
@@ -113,7 +113,7 @@
 
 // handshakeEnded handles the result of a job on the loop. The dial may have ended meanwhile.
 func (d *Dialer) handshakeEnded(j *handshakeJob, s *session, fd int, computeTime time.Duration, f *Failure) {
-	d.counts.cpu += computeTime
+	d.counts.computeTime += computeTime
 	d.budget.Done(d.loop.Now(), j.requestID, s != nil && s.resumed, computeTime, f == nil)
 	dial := d.dials[j.requestID]
 	switch {
