--- a/internal/dataplane/hotrestart/endpoint.go
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -17,15 +17,15 @@
 type Endpoint struct {
 	listener  *net.UnixListener
 	loop      *netio.Loop
-	onRequest func(listen string) (*Handoff, error)
-	onPartner func(*Partner)
+	onRequest func(listen string) (*Handoff, error) // see OfferHandover
+	onPartner func(*Partner)                        // see OfferHandover
 }
 
 // OfferHandover listens in dir for the next process's request for a handover. For each request it
 // calls onRequest on the loop with the address that clients use at the new process. onRequest
-// returns what to hand over, whose descriptors this process also keeps, or an error whose text is
-// sent as the reason for the rejection. After a handover, even if sending it failed, onPartner is
-// called on the loop. The caller must close the Endpoint.
+// returns what to hand over, or an error whose text is sent as the reason for the rejection. This
+// process keeps its own copies of the descriptors. After sending a handover, successfully or not, it
+// calls onPartner on the loop with the new process. Close ends the offer.
 func OfferHandover(l *netio.Loop, dir string, onRequest func(listen string) (*Handoff, error), onPartner func(*Partner)) (*Endpoint, error) {
 	ln, err := replaceSocket(dir)
 	if err != nil {
@@ -123,6 +123,6 @@
 		h, err := e.onRequest(listen)
 		results <- result{h, err}
 	})
-	a := <-results
-	return a.handoff, a.err
+	r := <-results
+	return r.handoff, r.err
 }
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -14,10 +14,10 @@
 
 // envelope is the form on the wire that all kinds of messages share. Each kind uses some of the fields.
 type envelope struct {
-	Kind        string                      `json:"Kind"`
-	Listen      string                      `json:"Listen,omitempty"`
+	Kind        string                      `json:"Kind"`             // one of the constants below
+	Listen      string                      `json:"Listen,omitempty"` // the address that clients use
 	Snapshot    *proxy.Snapshot             `json:"Kept,omitempty"`
-	HasDatagram bool                        `json:"Datagram,omitempty"`
+	HasDatagram bool                        `json:"Datagram,omitempty"` // whether the second descriptor is a datagram socket
 	HostID      string                      `json:"ID,omitempty"`
 	Suspended   bool                        `json:"Out,omitempty"`
 	Downstreams int                         `json:"Sessions,omitempty"`
@@ -68,7 +68,7 @@
 // rejection, from the old process to the new, rejects the handover for now.
 type rejection struct {
 	noDescriptors
-	reason string
+	reason string // the text of the error that onRequest returned
 }
 
 func (m rejection) envelope() envelope { return envelope{Kind: kindRejection, Reason: m.reason} }
@@ -106,7 +106,8 @@
 
 func (m listChanged) envelope() envelope { return envelope{Kind: kindList, Snapshot: m.snapshot} }
 
-// downstreamCount, from the old process to the new, is the number of downstreams that the sender still has.
+// downstreamCount, from the old process to the new, reports the number of downstreams that the sender
+// still has.
 type downstreamCount struct {
 	noDescriptors
 	count int
@@ -130,13 +131,13 @@
 // that its kind requires.
 type unexpectedMessage struct {
 	noDescriptors
-	kind string
+	kind string // as received
 }
 
 func (m unexpectedMessage) envelope() envelope { return envelope{Kind: m.kind} }
 
-// decode returns the message in an envelope that arrived with fds. The caller owns the descriptors
-// that belong to the message; decode closes all others.
+// decode returns the message in an envelope that arrived with the descriptors fds. The caller owns the
+// descriptors that belong to the message; decode closes all others.
 func decode(e *envelope, fds []int) message {
 	switch {
 	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 1 && !e.HasDatagram:
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// maxQueuedMessages is the maximum number of messages queued for the other process. They are few and short.
+// maxQueuedMessages is the maximum number of messages queued for the other process. Messages are few
+// and short.
 const maxQueuedMessages = 256
 
 // Events handles what a Partner receives. All methods are called on the loop.
@@ -26,8 +27,8 @@
 	ListChanged(s *proxy.Snapshot)
 	// DownstreamCount is called with the number of downstreams that the partner still has.
 	DownstreamCount(n int)
-	// ConnectionReceived is called with an open connection, whose sockets the receiver now owns.
-	ConnectionReceived(s *proxy.HandedOverConnection)
+	// ConnectionReceived is called with an open connection, whose sockets this process now owns.
+	ConnectionReceived(c *proxy.HandedOverConnection)
 	// Gone is called once, when the connection to the partner has ended.
 	Gone()
 }
@@ -38,7 +39,7 @@
 	conn      *net.UnixConn
 	queue     chan queuedMessage
 	closeOnce sync.Once
-	closed    chan struct{}
+	closed    chan struct{} // closed by Close
 }
 
 // queuedMessage is a message that waits to be written.
@@ -51,11 +52,11 @@
 type handover struct {
 	connection    *proxy.HandedOverConnection
 	migrationLine []byte // sent to the client if the handover fails
-	done          func()
+	done          func() // called once this process no longer owns the connection
 }
 
-// finish closes this process's descriptors of the connection. If the handover failed, it first sends
-// the client the line that migrates it.
+// finish closes this process's descriptors of the connection and calls done. If the handover failed,
+// it first sends the client the line that migrates it.
 func (h *handover) finish(failed bool) {
 	if failed {
 		h.connection.Downstream.Discard(h.migrationLine)
@@ -66,15 +67,16 @@
 	h.done()
 }
 
+// newPartner returns the Partner at the other end of c. Run must be called to exchange messages.
 func newPartner(c *net.UnixConn) *Partner {
 	return &Partner{conn: c, queue: make(chan queuedMessage, maxQueuedMessages), closed: make(chan struct{})}
 }
 
 // Run starts one goroutine that reads messages from the partner and one that writes queued messages to
-// it. Both end when the connection ends, by Close or by the partner.
-func (p *Partner) Run(l *netio.Loop, ev Events) {
+// it. It does not block. Both goroutines end when Close or the partner ends the connection.
+func (p *Partner) Run(l *netio.Loop, events Events) {
 	go p.writeQueued()
-	go p.readMessages(l, ev)
+	go p.readMessages(l, events)
 }
 
 // writeQueued writes queued messages until the connection to the partner ends. It then fails the
@@ -116,45 +118,47 @@
 }
 
 // readMessages handles messages until the connection to the partner ends, and then reports Gone.
-func (p *Partner) readMessages(l *netio.Loop, ev Events) {
+func (p *Partner) readMessages(l *netio.Loop, events Events) {
 	for {
 		e, fds, err := receive(p.conn)
 		if err != nil {
 			p.Close()
-			l.Post(ev.Gone)
+			l.Post(events.Gone)
 			return
 		}
 		m := decode(e, fds)
-		l.Post(func() { p.handle(m, ev) })
+		l.Post(func() { p.handle(m, events) })
 	}
 }
 
-// handle calls the method of ev for a message from the partner.
-func (p *Partner) handle(m message, ev Events) {
+// handle calls the method of events for a message from the partner. It ignores a message that lacks
+// its host ID or snapshot.
+func (p *Partner) handle(m message, events Events) {
 	switch m := m.(type) {
 	case takeOver:
-		p.send(takenOver{snapshot: ev.TakeOver()})
+		p.send(takenOver{snapshot: events.TakeOver()})
 	case takenOver:
-		ev.TakenOver(m.snapshot)
+		events.TakenOver(m.snapshot)
 	case hostSuspended:
 		if m.hostID != "" {
-			ev.HostSuspended(m.hostID, m.suspended)
+			events.HostSuspended(m.hostID, m.suspended)
 		}
 	case listChanged:
 		if m.snapshot != nil {
-			ev.ListChanged(m.snapshot)
+			events.ListChanged(m.snapshot)
 		}
 	case downstreamCount:
-		ev.DownstreamCount(max(0, m.count))
+		events.DownstreamCount(max(0, m.count))
 	case connection:
-		ev.ConnectionReceived(m.HandedOverConnection)
+		events.ConnectionReceived(m.HandedOverConnection)
 	default:
 		closeDescriptors(m.descriptors())
-		slog.Warn("hot_restart_unexpected", "kind", m.envelope().Kind) // for example, of a later version
+		// For example, a later version may send a kind that this one does not know.
+		slog.Warn("hot_restart_unexpected", "kind", m.envelope().Kind)
 	}
 }
 
-// send queues a message without blocking. If the queue is full, the partner does not read, and send
+// send queues a message without blocking. A full queue means that the partner does not read; send then
 // closes the connection.
 func (p *Partner) send(m message) {
 	select {
@@ -164,14 +168,15 @@
 	}
 }
 
-// HandOver hands an open connection over to the partner. If that fails, the client receives
-// migrationLine. done is called, on any goroutine, once this process no longer owns the connection.
-func (p *Partner) HandOver(s *proxy.HandedOverConnection, migrationLine []byte, done func()) {
-	h := &handover{s, migrationLine, done}
+// HandOver hands an open connection over to the partner without blocking. If that fails, for example
+// because the queue is full, the client receives migrationLine. done is called, on any goroutine, once
+// this process no longer owns the connection.
+func (p *Partner) HandOver(c *proxy.HandedOverConnection, migrationLine []byte, done func()) {
+	h := &handover{c, migrationLine, done}
 	select {
 	case <-p.closed:
 		h.finish(true)
-	case p.queue <- queuedMessage{connection{s}, h}:
+	case p.queue <- queuedMessage{connection{c}, h}:
 	default:
 		h.finish(true)
 	}
--- a/internal/dataplane/hotrestart/partner_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -14,10 +14,10 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// recordedEvents records the calls of a Partner as texts.
+// recordedEvents sends a text for each call of a Partner to events.
 type recordedEvents struct {
 	events   chan string
-	snapshot *proxy.Snapshot
+	snapshot *proxy.Snapshot // returned by TakeOver
 }
 
 func (s *recordedEvents) TakeOver() *proxy.Snapshot               { s.events <- "take over"; return s.snapshot }
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -82,7 +82,7 @@
 func TestUnexpectedMessages(t *testing.T) {
 	for _, e := range []envelope{{Kind: "later"}, {Kind: kindWelcome}, {Kind: kindWelcome, Snapshot: fullSnapshot()}, {Kind: kindConnection}, {Kind: kindConnection, Connection: fullConnection()}} {
 		if m, ok := decode(&e, nil).(unexpectedMessage); !ok || m.kind != e.Kind {
-			t.Errorf("decode(%+v) = %+v, want unexpectedMessage of kind %q", e, m, e.Kind)
+			t.Errorf("decode(%+v) = unexpectedMessage %t of kind %q, want true of kind %q", e, ok, m.kind, e.Kind)
 		}
 	}
 }
--- a/internal/dataplane/hotrestart/request.go
+++ b/internal/dataplane/hotrestart/request.go
@@ -15,7 +15,8 @@
 const (
 	// socketName is the name of the Unix socket in the private directory.
 	socketName = "croftlock.sock"
-	// maxSocketPath is the longest socket path, in bytes, that is used directly. It is below the system's limit.
+	// maxSocketPath is the longest socket path, in bytes, that is used directly. It is below the
+	// system's limit, also with the suffix that replaceSocket appends.
 	maxSocketPath = 99
 	// answerTimeout is how long to wait for the other process, whose loop may be under full load.
 	answerTimeout = time.Second
@@ -28,10 +29,11 @@
 // Handoff is what the old process hands over.
 type Handoff struct {
 	Snapshot   *proxy.Snapshot
-	ListenerFD int // listening socket, owned by the receiver; negative if there is none
+	ListenerFD int // listening socket, owned by the receiver; negative if there is no old process
 	DatagramFD int // datagram socket, owned by the receiver; negative if there is none
 }
 
+// close closes the received descriptors.
 func (h *Handoff) close() { closeDescriptors(welcome{*h}.descriptors()) }
 
 // RequestHandover requests a handover from the process that serves clients at listen and has its
@@ -94,7 +96,8 @@
 }
 
 // socketPath returns a path to the socket in dir that fits the system's limit. A longer path is
-// replaced with one through an open descriptor of dir. The caller must call release after using path.
+// replaced with one through an open descriptor of dir, or returned as it is if dir cannot be opened.
+// The caller must call release after using path.
 func socketPath(dir string) (path string, release func()) {
 	path = filepath.Join(dir, socketName)
 	if len(path) <= maxSocketPath {
--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -15,6 +15,7 @@
 )
 
 const (
+	// stateFile is the name of the state file in the private directory.
 	stateFile = "croftlock.state"
 	// stateMagic starts the first line of the file, followed by the length of the rest in bytes and its CRC-32.
 	stateMagic = "croftlock-state 1"
@@ -55,7 +56,7 @@
 	return s, s.Check(now)
 }
 
-// parseState checks the header and returns the body that it describes.
+// parseState checks the header, the length and the checksum, and returns the body.
 func parseState(data []byte) ([]byte, error) {
 	header, body, ok := bytes.Cut(data, []byte("\n"))
 	var length int
@@ -64,7 +65,7 @@
 		return nil, fmt.Errorf("%w: %.40q, expected %q", errStateHeader, header, stateMagic)
 	}
 	if length >= 0 && length < len(body) && body[length] == 0 {
-		body = body[:length] // the reserved space of a spare file is larger than its content
+		body = body[:length] // the rest is space reserved for the spare file, which is filled with zeros
 	}
 	if got := crc32.ChecksumIEEE(body); length != len(body) || sum != got {
 		return nil, fmt.Errorf("%w: %d bytes with %08x, expected %d with %08x", errStateChecksum, len(body), got, length, sum)
@@ -74,7 +75,8 @@
 
 // ReadState returns the latest snapshot that an earlier process stored in dir, or nil, nil if there is
 // none. It returns an error if the file cannot be used, which must not keep a proxy from starting. If
-// only reading the spare file fails, the snapshot of the state file is returned with the error.
+// only reading the spare file fails, it returns that error with the snapshot of the state file, and
+// the caller may try again.
 // now is the loop's time in nanoseconds.
 func ReadState(dir string, now int64) (*proxy.Snapshot, error) {
 	s, err := readStateFile(filepath.Join(dir, stateFile), now)
@@ -88,7 +90,8 @@
 	return s, err // ignore a spare file with invalid content
 }
 
-// readStateFile reads a state or spare file. It returns nil, nil if the file does not exist or was only reserved.
+// readStateFile reads a state or spare file. It returns nil, nil if the file does not exist or if its
+// space was reserved but never written.
 func readStateFile(path string, now int64) (*proxy.Snapshot, error) {
 	info, err := os.Lstat(path)
 	if os.IsNotExist(err) {
@@ -117,7 +120,8 @@
 	return s, nil
 }
 
-// SetAsideState renames a state file that cannot be used, so that it is not overwritten and can be examined.
+// SetAsideState renames a state file that cannot be used, so that it is not overwritten and can be
+// examined. It logs an error of the rename.
 func SetAsideState(dir string) {
 	path := filepath.Join(dir, stateFile)
 	if err := os.Rename(path, path+".unusable"); err != nil && !os.IsNotExist(err) {
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -27,34 +27,34 @@
 // format or version, or beyond the bounds is rejected.
 func TestStateFile(t *testing.T) {
 	dir, now := t.TempDir(), int64(10)
-	if k, err := ReadState(dir, now); k != nil || err != nil {
-		t.Fatalf("ReadState of an empty directory = %v, %v, want nil, nil", k, err)
+	if snapshot, err := ReadState(dir, now); snapshot != nil || err != nil {
+		t.Fatalf("ReadState of an empty directory = %v, %v, want nil, nil", snapshot, err)
 	}
 	if _, err := writeState(dir, sampleSnapshot()); err != nil {
 		t.Fatal(err)
 	}
-	if k, err := ReadState(dir, now); err != nil || !reflect.DeepEqual(k, sampleSnapshot()) {
-		t.Fatalf("ReadState = %+v, %v, want %+v", k, err, sampleSnapshot())
+	if snapshot, err := ReadState(dir, now); err != nil || !reflect.DeepEqual(snapshot, sampleSnapshot()) {
+		t.Fatalf("ReadState = %+v, %v, want %+v", snapshot, err, sampleSnapshot())
 	}
 	complete, _ := os.ReadFile(filepath.Join(dir, stateFile))
 	text := string(complete)
-	encodeChanged := func(change func(k *proxy.Snapshot)) string {
+	encodeChanged := func(change func(s *proxy.Snapshot)) string {
 		snapshot := sampleSnapshot()
 		change(snapshot)
 		data, _ := encodeState(snapshot)
 		return string(data)
 	}
 	for name, data := range map[string]string{
-		"empty": "", "torn": text[:len(text)-1], "no head": text[strings.Index(text, "\n"):], "longer": text + "x",
-		"a bit": strings.Replace(text, `"Rev":7`, `"Rev":6`, 1), "another version": strings.Replace(text, "state 1", "state 2", 1),
-		"foreign": "[]\n{}", "huge": strings.Repeat("x", maxStateSize+1),
-		"an id too long": encodeChanged(func(k *proxy.Snapshot) { k.KnownHosts[0] = strings.Repeat("x", 300) }),
-		"no such state":  encodeChanged(func(k *proxy.Snapshot) { k.Hosts[0].State = 9 }),
-		"too many":       encodeChanged(func(k *proxy.Snapshot) { k.Suspended = make([]maintenance.Suspension, 5000) }),
+		"empty": "", "last byte missing": text[:len(text)-1], "no header": text[strings.Index(text, "\n"):], "one byte too long": text + "x",
+		"one digit changed": strings.Replace(text, `"Rev":7`, `"Rev":6`, 1), "another version": strings.Replace(text, "state 1", "state 2", 1),
+		"another format": "[]\n{}", "too large": strings.Repeat("x", maxStateSize+1),
+		"host ID too long":     encodeChanged(func(s *proxy.Snapshot) { s.KnownHosts[0] = strings.Repeat("x", 300) }),
+		"unknown host state":   encodeChanged(func(s *proxy.Snapshot) { s.Hosts[0].State = 9 }),
+		"too many suspensions": encodeChanged(func(s *proxy.Snapshot) { s.Suspended = make([]maintenance.Suspension, 5000) }),
 	} {
 		os.WriteFile(filepath.Join(dir, stateFile), []byte(data), 0o600)
-		if k, err := ReadState(dir, now); err == nil || k != nil && k.Check(now) == nil {
-			t.Errorf("%s: ReadState = %+v, %v, want an error", name, k, err)
+		if snapshot, err := ReadState(dir, now); err == nil || snapshot != nil && snapshot.Check(now) == nil {
+			t.Errorf("state file %q: ReadState = %+v, %v, want an error", name, snapshot, err)
 		}
 	}
 }
@@ -67,9 +67,9 @@
 	f.Fuzz(func(t *testing.T, in []byte) { decodeState(in, 10) })
 }
 
-// TestFailedWriteIsRetried checks that a failed write is retried, because the call that caused it has
-// already been answered. A missing directory simulates a full disk. NewStore must also remove the
-// incomplete file of a process that was killed.
+// TestFailedWriteIsRetried checks that a failed write is retried: the call that caused it has already
+// been answered, so no caller tries again. A missing directory simulates a full disk. NewStore must also
+// remove the incomplete file of a process that was killed.
 func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	l := netio.NewLoop()
@@ -87,12 +87,12 @@
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		k, err := ReadState(dir, 1e18)
-		if err == nil && k != nil && k.Revision == 8 && len(k.Suspended) == 1 {
+		snapshot, err := ReadState(dir, 1e18)
+		if err == nil && snapshot != nil && snapshot.Revision == 8 && len(snapshot.Suspended) == 1 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("ReadState after 20 s = %+v, %v, want revision 8 with one suspension", k, err)
+			t.Fatalf("ReadState after 20 s = %+v, %v, want revision 8 with one suspension", snapshot, err)
 		}
 	}
 	incompletePath := filepath.Join(dir, "."+stateFile+".123")
@@ -101,7 +101,7 @@
 	}
 	NewStore(l, dir)
 	if _, err := os.Stat(incompletePath); !os.IsNotExist(err) {
-		t.Errorf("Stat(%q): error %v, want that the incomplete file was removed", incompletePath, err)
+		t.Errorf("Stat(%q) after NewStore: error %v, want %v, because NewStore removes incomplete files", incompletePath, err, os.ErrNotExist)
 	}
 }
 
@@ -121,11 +121,11 @@
 		}
 		file, err := decodeState(data, now)
 		if err != nil || len(file.Suspended) != 1 || file.Suspended[0].Since > now || file.Balancer.Servers[0].FailedAt > now {
-			t.Errorf("%s: decodeState = %+v, %v, want one suspension and no time in the future", name, file, err)
+			t.Errorf("clock set %s: decodeState = %+v, %v, want one suspension and no time in the future", name, file, err)
 		}
 		state.Rebase(now, true)
 		if since, until := now-state.Suspended[0].Since, state.Balancer.Servers[0].Until-now; since < 4e9 || since > 6e9 || until < 1e9 || until > 3e9 {
-			t.Errorf("%s: suspended for %v and ejected for %v more, want about 5 s and 2 s", name, time.Duration(since), time.Duration(until))
+			t.Errorf("clock set %s: suspended for %v and ejected for %v more, want about 5 s and 2 s", name, time.Duration(since), time.Duration(until))
 		}
 	}
 	old := &proxy.Snapshot{Suspended: sampleSnapshot().Suspended} // of a version without WrittenAt
@@ -146,8 +146,8 @@
 	}
 	expectRevision := func(want int64) {
 		t.Helper()
-		if k, err := ReadState(dir, 10); err != nil || k == nil || k.Revision != want {
-			t.Fatalf("ReadState = %+v, %v, want revision %d", k, err, want)
+		if snapshot, err := ReadState(dir, 10); err != nil || snapshot == nil || snapshot.Revision != want {
+			t.Fatalf("ReadState = %+v, %v, want revision %d", snapshot, err, want)
 		}
 	}
 	expectRevision(7)
@@ -179,14 +179,15 @@
 		t.Fatal(err)
 	}
 	if readable, err := writeState(dir, second); !readable || err == nil {
-		t.Errorf("writeState = %t, %v, want readable with the error of the replacement", readable, err)
+		t.Errorf("writeState = %t, %v, want true and the error of the replacement", readable, err)
 	}
 	os.RemoveAll(filepath.Join(dir, stateFile))
 	expectRevision(9)
 }
 
-// TestConnectionClosedBeforeAnswer checks that RequestHandover returns an error other than ErrBusy if the
-// process that serves closes the connection before it answers: it may hand over when asked again.
+// TestConnectionClosedBeforeAnswer checks that RequestHandover returns an error other than ErrBusy if
+// the process that serves closes the connection before it answers. That process may hand over when the
+// request is repeated.
 func TestConnectionClosedBeforeAnswer(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, socketName))
--- a/internal/dataplane/hotrestart/statewrite.go
+++ b/internal/dataplane/hotrestart/statewrite.go
@@ -43,8 +43,9 @@
 	return true, err
 }
 
-// replaceFile replaces a file atomically. If only the sync fails, readable is true, because the next
-// process still reads the file from the kernel's cache.
+// replaceFile writes data to a temporary file and renames it to path. readable reports whether path
+// has the new content. If only the sync fails, readable is true and err is not nil: the next process
+// still reads the file from the kernel's cache.
 func replaceFile(path string, data []byte) (readable bool, err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+".*")
 	if err != nil {
@@ -65,7 +66,8 @@
 	return true, syncErr
 }
 
-// reserveSpare reserves size bytes for the spare file, so that later states fit when the disk is full.
+// reserveSpare reserves size bytes, or minSpareSize if that is more, for the spare file, so that later
+// and larger states fit when the disk is full. It logs an error, because the state is already stored.
 func reserveSpare(dir string, size int) {
 	path := filepath.Join(dir, spareFile)
 	size = max(size, minSpareSize)
@@ -83,8 +85,9 @@
 	}
 }
 
-// overwriteFile writes data at the start of an existing file without truncating it. Readers ignore what
-// follows data, which may be left from a longer state.
+// overwriteFile writes data at the start of an existing file without truncating it, so that its space
+// stays reserved. parseState ignores the rest of the file if the byte after data is zero. If the sync
+// fails, overwriteFile only logs it, because the next process still reads the kernel's cache.
 func overwriteFile(path string, data []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
--- a/internal/dataplane/hotrestart/store.go
+++ b/internal/dataplane/hotrestart/store.go
@@ -11,7 +11,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// The backoff after a failed write, doubled with each failure up to the maximum.
+// The backoff after a failed write, which doubles with each failure up to the maximum.
 const (
 	minWriteBackoff = 50 * time.Millisecond
 	maxWriteBackoff = time.Second
@@ -22,11 +22,11 @@
 type Store struct {
 	loop *netio.Loop
 	dir  string
-	wake chan struct{}
+	wake chan struct{} // has an element if Save was called since run last received
 
-	mu        sync.Mutex
+	mu        sync.Mutex      // guards the fields below
 	pending   *proxy.Snapshot // nil if no snapshot waits to be written
-	callbacks []func()
+	callbacks []func()        // to post to the loop after the next attempt
 }
 
 // NewStore returns a Store that writes to dir until the process exits. It removes incomplete files of
@@ -77,7 +77,9 @@
 	}
 }
 
-// writeNext writes the pending snapshot, if any, and reports whether that succeeded.
+// writeNext writes the pending snapshot, if any, and reports whether that succeeded. It posts the
+// callbacks to the loop in either case. isRetry reports whether the last write failed: only the first
+// of several failures is logged, and the success that ends them.
 func (s *Store) writeNext(isRetry bool) bool {
 	snapshot, callbacks := s.removePending()
 	var err error
--- a/internal/dataplane/hotrestart/store_test.go
+++ b/internal/dataplane/hotrestart/store_test.go
@@ -16,9 +16,9 @@
 		done := make(chan bool)
 		NewStore(l, dir).Save(sampleSnapshot(), func() { close(done) })
 		<-done
-		k, err := ReadState(dir, 10)
-		if dir[:4] == "/now" && k != nil || dir[:4] != "/now" && (err != nil || k.Revision != 7) {
-			t.Errorf("ReadState(%q) = %+v, %v, want revision 7, or nil if the directory cannot be written to", dir, k, err)
+		snapshot, err := ReadState(dir, 10)
+		if dir[:4] == "/now" && snapshot != nil || dir[:4] != "/now" && (err != nil || snapshot.Revision != 7) {
+			t.Errorf("ReadState(%q) = %+v, %v, want revision 7, or nil if the directory cannot be written to", dir, snapshot, err)
 		}
 	}
 }
--- a/internal/dataplane/hotrestart/transport.go
+++ b/internal/dataplane/hotrestart/transport.go
@@ -17,7 +17,7 @@
 	// maxMessageSize is the maximum size of a message body, in bytes. On the wire a message is a
 	// big-endian length of four bytes, followed by that many bytes of JSON.
 	maxMessageSize = maxStateSize
-	// maxDescriptors is the maximum number of descriptors received with one part of a message.
+	// maxDescriptors is the maximum number of descriptors received in one read.
 	maxDescriptors = 8
 	// writeTimeout is the time in which the other process must accept a complete message.
 	writeTimeout = 2 * time.Second
@@ -36,14 +36,14 @@
 		return err
 	}
 	if len(body) > maxMessageSize {
-		return fmt.Errorf("%w: %d bytes, kind %q", errMessageTooLong, len(body), e.Kind)
+		return fmt.Errorf("%w: %d bytes, at most %d, kind %q", errMessageTooLong, len(body), maxMessageSize, e.Kind)
 	}
 	data := append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if fds := m.descriptors(); len(fds) > 0 {
 		n, _, err := c.WriteMsgUnix(data[:4], unix.UnixRights(fds...), nil)
 		if err != nil || n != 4 {
-			return fmt.Errorf("descriptors: %d bytes written: %v", n, err)
+			return fmt.Errorf("sending %d descriptors: wrote %d of 4 bytes: %v", len(fds), n, err)
 		}
 		data = data[4:]
 	}
@@ -65,7 +65,7 @@
 		return nil, fds, err
 	}
 	if size > maxMessageSize {
-		return nil, fds, fmt.Errorf("%w: %d bytes", errMessageTooLong, size)
+		return nil, fds, fmt.Errorf("%w: %d bytes, at most %d", errMessageTooLong, size, maxMessageSize)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(c, body); err != nil {
@@ -94,7 +94,8 @@
 	return binary.BigEndian.Uint32(header[:]), fds, nil
 }
 
-// parseDescriptors returns the descriptors in a control message, after marking them close-on-exec.
+// parseDescriptors returns the descriptors in a control message, after marking them close-on-exec. It
+// returns nil if control cannot be parsed.
 func parseDescriptors(control []byte) (fds []int) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
@@ -113,6 +114,7 @@
 	return fds
 }
 
+// closeDescriptors closes fds.
 func closeDescriptors(fds []int) {
 	for _, fd := range fds {
 		unix.Close(fd)
