--- a/internal/dataplane/upstreamtls/backpressure_test.go
+++ b/internal/dataplane/upstreamtls/backpressure_test.go
@@ -18,8 +18,8 @@
 // floodingServer accepts one connection and sends data on it as fast as the connection accepts it.
 type floodingServer struct {
 	net.Listener
-	data    []byte
-	written atomic.Int64
+	data    []byte       // sent on the connection
+	written atomic.Int64 // bytes of data written so far
 }
 
 // newFloodingServer starts a server that sends size random bytes.
@@ -147,6 +147,6 @@
 	close(read)
 	e.onLoop(func() { c.netConn.Close() })
 	if got := <-all; got != want.String() {
-		t.Errorf("the server received %d bytes, want the %d bytes written", len(got), want.Len())
+		t.Errorf("the server received %d bytes that differ from the %d bytes written", len(got), want.Len())
 	}
 }
--- a/internal/dataplane/upstreamtls/cache.go
+++ b/internal/dataplane/upstreamtls/cache.go
@@ -10,7 +10,7 @@
 // sessionKey identifies the sessions that a handshake may resume: those of the same host, verified
 // under the same name, in the same epoch of the files.
 type sessionKey struct {
-	uid   string
+	uid   string // the host's ID
 	name  Name
 	epoch uint64
 }
@@ -18,19 +18,20 @@
 // sessionCache caches the last session of each sessionKey, and evicts the least recently used. It is
 // safe for concurrent use by the workers and the loop.
 type sessionCache struct {
-	mu           sync.Mutex
+	mu           sync.Mutex // guards elements and recentlyUsed
 	maxSessions  int
 	elements     map[sessionKey]*list.Element
 	recentlyUsed list.List // of *cachedSession, the most recently used first
 }
 
-// cachedSession is an element of a sessionCache.
+// cachedSession is the value of an element of a sessionCache.
 type cachedSession struct {
 	key        sessionKey
 	state      *tls.ClientSessionState
 	validUntil time.Time // end of the chain that was verified when the session was made
 }
 
+// newSessionCache returns an empty cache that holds at most maxSessions sessions.
 func newSessionCache(maxSessions int) *sessionCache {
 	return &sessionCache{maxSessions: maxSessions, elements: map[sessionKey]*list.Element{}}
 }
--- a/internal/dataplane/upstreamtls/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -13,18 +13,18 @@
 	dialer     *Dialer
 	requestID  uint64
 	host       Host
-	inputLimit int
+	inputLimit int   // in bytes
 	deadline   int64 // on the loop's clock, in nanoseconds
 	handler    netio.Handler
 	done       func(*netio.Conn, *netio.Error)
-	timer      *netio.Timer
+	timer      *netio.Timer  // fires at the deadline; nil if the dial was rejected at once
 	job        *handshakeJob // nil while the dial is queued
-	ended      bool
+	ended      bool          // failed, cancelled or established
 }
 
-// Dial opens a connection to host and calls done once on the loop, unless cancel is called first.
-// timeout includes the wait in the queue of the handshake budget. handler handles the connection, and
-// inputLimit bounds its buffered input in bytes.
+// Dial opens a connection to host and calls done once on the loop, with either the connection or an
+// error, unless cancel is called first. timeout includes the wait in the queue of the handshake budget.
+// handler handles the connection, and inputLimit bounds its buffered input in bytes.
 func (d *Dialer) Dial(host Host, timeout time.Duration, inputLimit int, handler netio.Handler, done func(*netio.Conn, *netio.Error)) (cancel func()) {
 	d.lastID++
 	dial := &pendingDial{dialer: d, requestID: d.lastID, host: host, inputLimit: inputLimit, deadline: d.loop.Now() + int64(timeout), handler: handler, done: done}
@@ -49,7 +49,8 @@
 	return &Failure{Reason: NoBudget, Step: "queue", Err: errors.New(r.String())}
 }
 
-// timedOut fails the dial when its timeout has passed.
+// timedOut fails the dial when its timeout has passed. A dial that is still queued fails for lack of
+// budget.
 func (d *pendingDial) timedOut() {
 	if d.job == nil {
 		d.dialer.budget.Drop(d.requestID)
@@ -74,11 +75,11 @@
 
 // markEnded removes the dial from its Dialer, and reports whether the dial had not ended before.
 func (d *pendingDial) markEnded() bool {
-	was := d.ended
+	endedBefore := d.ended
 	d.ended = true
 	d.timer.Stop()
 	delete(d.dialer.dials, d.requestID)
-	return !was
+	return !endedBefore
 }
 
 // fail ends the dial, logs the failure and passes it to done. It does nothing if the dial has ended.
--- a/internal/dataplane/upstreamtls/dialer.go
+++ b/internal/dataplane/upstreamtls/dialer.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Host is an upstream host to connect to. Address is a host and port.
+// Host is an upstream host to connect to. Address is "host:port".
 type Host struct{ ID, Zone, Address string }
 
 // kernelBuffer is the size of the receive buffer requested from the kernel for a connection, in bytes,
@@ -24,27 +24,28 @@
 type Dialer struct {
 	loop         *netio.Loop
 	wallClock    func() time.Time
-	material     *Material
+	material     *Material // used for new connections
 	budget       *handshake.Budget
 	cache        *sessionCache
-	peers        map[string]*tlsPeer
-	dials        map[uint64]*pendingDial // queued and in flight
-	lastID       uint64
+	peers        map[string]*tlsPeer     // by host ID; at most maxPeers
+	dials        map[uint64]*pendingDial // queued and in flight, by request ID
+	lastID       uint64                  // the last request ID
 	jobs         chan *handshakeJob
 	computeToken chan struct{} // held by the worker that computes; see sealedSocket
-	budgetTimer  *netio.Timer
+	budgetTimer  *netio.Timer  // calls startAllowed; nil if it is not scheduled
 	counts       counts
 	reloads      chan reload // read by watch
 }
 
-// counts are the handshakes since the last log line, and the time spent computing them.
+// counts are the handshakes since the last log line, and the time this side spent computing them.
 type counts struct {
 	full, resumed int
 	computeTime   time.Duration
 	failed        map[Reason]int
 }
 
-// maxPeers is the maximum number of hosts whose TLS configuration is cached.
+// maxPeers is the maximum number of hosts whose TLS configuration is cached. At the maximum the cache
+// is cleared; configurations are made again when needed.
 const maxPeers = 4096
 
 // New returns a Dialer with the options that m was loaded from, and starts its workers, one for each
@@ -73,7 +74,7 @@
 	}
 	name, ok := m.options.ExpectedName(host.ID, host.Zone, address)
 	if !ok {
-		return nil, &Failure{Reason: NoExpectedName, Step: "queue", Err: fmt.Errorf("no name to expect of %s in zone %q", host.ID, host.Zone)}
+		return nil, &Failure{Reason: NoExpectedName, Step: "queue", Err: fmt.Errorf("the options specify no certificate name for host %s in zone %q", host.ID, host.Zone)}
 	}
 	p := d.peers[host.ID]
 	if p == nil || p.material != m || p.key.name != name {
--- a/internal/dataplane/upstreamtls/dialer_test.go
+++ b/internal/dataplane/upstreamtls/dialer_test.go
@@ -12,6 +12,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
+// openLine opens a request at a fake server, which answers with upLine.
 const openLine = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=c,d=2000\r\n"
 
 // TestLinesAndReuse checks that lines pass in both directions and that later connections resume the session.
@@ -53,10 +54,10 @@
 			(<-endings)(raw, s)
 		}
 	}()
-	for _, w := range []struct {
-		how  func(raw net.Conn, s *tls.Conn)
-		want netio.Cause
-		last string
+	for i, x := range []struct {
+		end      func(raw net.Conn, s *tls.Conn)
+		want     netio.Cause
+		lastLine string // received before the end
 	}{
 		{func(raw net.Conn, s *tls.Conn) { io.WriteString(s, "BYE\r\n"); s.Close() }, netio.Ended, "BYE\r\n"},
 		{func(raw net.Conn, s *tls.Conn) { io.WriteString(s, "BYE\r\n"); raw.Close() }, netio.Broken, "BYE\r\n"},
@@ -65,15 +66,15 @@
 			raw.Write([]byte("\x17\x03\x03\x00\x20 this is no record of this connection"))
 		}, netio.Broken, ""},
 	} {
-		endings <- w.how
+		endings <- x.end
 		c := e.dial(l.Addr().String(), 5*time.Second)
 		if c.err != nil {
 			t.Fatal(c.err)
 		}
 		c.write(openLine)
-		c.read(w.last)
-		if err := c.ended(); err.Cause != w.want || err.Stage != netio.Up {
-			t.Errorf("connection ended by %v, want cause %v at stage %v", err, w.want, netio.Up)
+		c.read(x.lastLine)
+		if err := c.ended(); err.Cause != x.want || err.Stage != netio.Up {
+			t.Errorf("ending %d: connection ended by %v, want cause %v at stage %v", i, err, x.want, netio.Up)
 		}
 	}
 }
@@ -98,8 +99,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	e.onLoop(func() {
-		for _, d := range cancels {
-			d()
+		for _, cancel := range cancels {
+			cancel()
 		}
 	})
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
--- a/internal/dataplane/upstreamtls/env_test.go
+++ b/internal/dataplane/upstreamtls/env_test.go
@@ -15,6 +15,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
+// hostName is the name in the certificates of the servers.
 const hostName = "s1.test"
 
 // env is a Dialer on a running loop, with the files of a public key infrastructure in a directory.
@@ -28,7 +29,7 @@
 	clockSkew atomic.Int64 // how far the wall clock is ahead, in nanoseconds
 }
 
-// newEnv starts a Dialer. change, if not nil, is called before and may change its options.
+// newEnv starts a Dialer. change, if not nil, is called before the start and may change the options.
 func newEnv(t *testing.T, change func(e *env)) *env {
 	t.Helper()
 	pki, err := fake.NewPKI(hostName)
@@ -78,12 +79,13 @@
 type conn struct {
 	env     *env
 	netConn *netio.Conn
-	err     *netio.Error
-	data    chan []byte
-	closed  chan *netio.Error
+	err     *netio.Error        // why the dial failed, or nil
+	data    chan []byte         // input, if handle is nil
+	closed  chan *netio.Error   // receives the error that ended the connection
 	handle  func(c *netio.Conn) // reads the input; if nil, all of it is sent to data
 }
 
+// Data passes the input to handle or data.
 func (c *conn) Data(n *netio.Conn) {
 	if c.handle != nil {
 		c.handle(n)
@@ -93,16 +95,18 @@
 	n.Consume(len(n.Input()))
 }
 
+// Writable calls handle, if not nil.
 func (c *conn) Writable(n *netio.Conn) {
 	if c.handle != nil {
 		c.handle(n)
 	}
 }
 
+// Closed passes the error to closed.
 func (c *conn) Closed(_ *netio.Conn, err *netio.Error) { c.closed <- err }
 
-// dial opens a connection and waits until it is established or has failed.
-func (e *env) dial(addr string, within time.Duration) *conn { return e.dialWith(addr, within, nil) }
+// dial opens a connection and waits until it is established or has failed. timeout is that of Dialer.Dial.
+func (e *env) dial(addr string, timeout time.Duration) *conn { return e.dialWith(addr, timeout, nil) }
 
 // openRequest opens a connection on which the server has accepted a request.
 func (e *env) openRequest(addr string) *conn {
@@ -117,11 +121,11 @@
 }
 
 // dialWith is like dial, but lets handle read the input.
-func (e *env) dialWith(addr string, within time.Duration, handle func(*netio.Conn)) *conn {
+func (e *env) dialWith(addr string, timeout time.Duration, handle func(*netio.Conn)) *conn {
 	c := &conn{env: e, data: make(chan []byte, 100), closed: make(chan *netio.Error, 1), handle: handle}
 	done := make(chan struct{})
 	e.loop.Post(func() {
-		e.dialer.Dial(Host{"s1", "a", addr}, within, 4096, c, func(n *netio.Conn, err *netio.Error) {
+		e.dialer.Dial(Host{"s1", "a", addr}, timeout, 4096, c, func(n *netio.Conn, err *netio.Error) {
 			c.netConn, c.err = n, err
 			close(done)
 		})
@@ -173,7 +177,8 @@
 	}
 }
 
-// reason returns why the connection was not established, or "" if it was or no Failure is the cause.
+// reason returns why the connection was not established. It returns "" if it was established, or if the
+// error is not a Failure.
 func (c *conn) reason() Reason {
 	var f *Failure
 	if c.err == nil || !errors.As(c.err, &f) {
@@ -199,4 +204,5 @@
 	return s
 }
 
+// upLine is a fake server's answer to openLine.
 const upLine = "UP s1-9b1f03aa5c7e2d41\r\n"
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -13,7 +13,7 @@
 	"syscall"
 )
 
-// Reason is the reason for a failed connection, as the log shows it.
+// Reason is the reason why a connection failed or broke, as the log shows it.
 type Reason string
 
 // The reasons for a Failure. Those of the second group are faults of the proxy's own files, which affect
@@ -21,7 +21,7 @@
 const (
 	Unreachable    Reason = "unreachable"      // no TCP connection
 	TimedOut       Reason = "timeout"          // not established in time
-	NoBudget       Reason = "no_budget"        // the handshake budget had no capacity before the deadline
+	NoBudget       Reason = "no_budget"        // the handshake budget has no capacity before the deadline, or its queue is full
 	NotTLS         Reason = "not_tls"          // the host does not speak TLS
 	OldVersion     Reason = "old_version"      // no TLS version that both sides support
 	NoCertificate  Reason = "no_certificate"   // the host presented none
@@ -34,7 +34,7 @@
 	Revoked        Reason = "revoked"          // revoked by its authority
 	WeakKey        Reason = "weak_key"         // the key or signature algorithm is too weak
 	TooLarge       Reason = "too_large"        // a handshake message exceeds the limit
-	ConnectionLost Reason = "broken_off"       // the connection was closed or reset during the handshake
+	ConnectionLost Reason = "broken_off"       // the connection was closed or reset
 	ProtocolError  Reason = "protocol"         // the host violated the protocol, or its signature does not verify
 	NoExpectedName Reason = "no_name"          // the options specify no name for the host
 	RejectedByHost Reason = "rejected_by_host" // the host rejected this side's certificate or parameters
@@ -46,7 +46,7 @@
 // IsOwnFault reports whether the proxy's own files are at fault.
 func (r Reason) IsOwnFault() bool { return r == OwnCertificateExpired || r == OwnTrustUnusable }
 
-// Failure is the error of a connection that was not established.
+// Failure is the error of a connection that was not established, or that broke afterwards.
 type Failure struct {
 	Reason Reason
 	Step   string // the step that failed: queue, connect, hello, certificate or finish
@@ -64,18 +64,30 @@
 // Unwrap returns the underlying error, or nil if there is none.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// newCertificateFailure returns a failure at the step "certificate".
+// newCertificateFailure returns a failure at the step "certificate". format and args are those of
+// fmt.Errorf.
 func newCertificateFailure(r Reason, format string, args ...any) *Failure {
 	return &Failure{Reason: r, Step: "certificate", Err: fmt.Errorf(format, args...)}
 }
 
 // rejectionAlerts are the alerts by which a peer rejects this side's handshake (RFC 8446, 6.2). A peer
 // that has read application data sends none of them, since it has accepted the handshake by then.
-var rejectionAlerts = map[uint64]bool{40: true, 42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
+var rejectionAlerts = map[uint64]bool{
+	40:  true, // handshake_failure
+	42:  true, // bad_certificate
+	43:  true, // unsupported_certificate
+	44:  true, // certificate_revoked
+	45:  true, // certificate_expired
+	46:  true, // certificate_unknown
+	48:  true, // unknown_ca
+	49:  true, // access_denied
+	116: true, // certificate_required
+}
 
+// The other alerts that classifyTLSError distinguishes (RFC 8446, 6.2).
 const (
 	alertProtocolVersion  = 70
-	alertUnrecognizedName = 112 // unrecognized_name: the host has no certificate for the requested name
+	alertUnrecognizedName = 112 // the host has no certificate for the requested name
 )
 
 // peerAlert returns the code of the alert that the peer sent, and reports whether err is one.
@@ -90,8 +102,9 @@
 	return 0, false
 }
 
-// classifyTLSError returns the failure for an error of crypto/tls. received reports whether the
-// peer had sent anything.
+// classifyTLSError returns the failure for an error of crypto/tls during or after the handshake.
+// received reports whether the peer had sent anything. Errors that crypto/tls does not export are
+// recognized by their texts.
 func classifyTLSError(err error, received bool) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -135,8 +148,9 @@
 	return f
 }
 
-// classifyVerifyError returns the failure for an error of crypto/x509. notYetValid reports whether a
-// presented certificate is not valid yet, which crypto/x509 reports like an expired one.
+// classifyVerifyError returns the failure for an error of crypto/x509 in the verification of leaf.
+// notYetValid reports whether a presented certificate is not valid yet, which crypto/x509 reports like
+// an expired one.
 func classifyVerifyError(err error, leaf *x509.Certificate, notYetValid bool) *Failure {
 	f := &Failure{Reason: UnknownCA, Step: "certificate", Err: err}
 	var invalid x509.CertificateInvalidError
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -35,12 +35,12 @@
 				t.Fatal(err)
 			}
 			defer bad.Close()
-			// Enough time for all faults but those that never end.
-			within := 5 * time.Second
+			// Enough time for all faults except those that must time out.
+			timeout := 5 * time.Second
 			if f.Reason == string(TimedOut) {
-				within = 100 * time.Millisecond
+				timeout = 100 * time.Millisecond
 			}
-			c := e.dial(bad.Addr(), within)
+			c := e.dial(bad.Addr(), timeout)
 			late := f.Reason == string(RejectedByHost) // in TLS 1.3 known only after this side has finished the handshake
 			if f.CompletesHandshake || late {
 				if c.err != nil {
@@ -49,7 +49,7 @@
 				c.write(openLine)
 				err := c.ended()
 				if late && (err.Stage != netio.Connecting || !strings.Contains(err.Error(), f.Reason)) || !late && err.Stage != netio.Up {
-					t.Errorf("connection ended by %v, want reason %s, at stage %v only if late (%t)", err, f.Reason, netio.Connecting, late)
+					t.Errorf("connection ended by %v; want stage %v and reason %s if rejected late (%t), otherwise stage %v", err, netio.Connecting, f.Reason, late, netio.Up)
 				}
 			} else if string(c.reason()) != f.Reason || c.err.Stage != netio.Connecting {
 				t.Errorf("dial failed with %v, want %s at stage %v", c.err, f.Reason, netio.Connecting)
@@ -124,7 +124,8 @@
 	}
 }
 
-// TestFilesThatCannotBeUsed checks that Load reports each fault of the files, without the key or its password.
+// TestFilesThatCannotBeUsed checks that Load reports each fault of the files, and that its error contains
+// neither the key nor its password.
 func TestFilesThatCannotBeUsed(t *testing.T) {
 	e := newEnv(t, nil)
 	pair, _ := e.pki.Trusted.SaveClientCertificate(e.dir, certs.Spec{Name: "proxy"})
@@ -134,11 +135,11 @@
 		t.Fatal(err)
 	}
 	key, _ := pair.KeyPEM(nil)
-	foreign, _ := fake.OtherCRL(e.pki)
+	otherCRL, _ := fake.OtherCRL(e.pki)
 	leaf, _ := e.pki.Trusted.Issue(certs.Spec{Hosts: []string{hostName}})
 	leafKey, _ := leaf.KeyPEM(nil)
-	crypted, _ := pair.KeyPEM([]byte("secret words"))
-	for what, x := range map[string]struct {
+	encryptedKey, _ := pair.KeyPEM([]byte("secret words"))
+	for name, x := range map[string]struct {
 		change func(o *Options)
 		want   string
 	}{
@@ -151,22 +152,22 @@
 		"a server's pair": {func(o *Options) {
 			o.Certificate, o.Key = e.writeFile("s.pem", leaf.PEM()), e.writeFile("s.key", leafKey)
 		}, "not for clients"},
-		"encrypted, no password": {func(o *Options) { o.Key = e.writeFile("c.key", crypted) }, "no password file"},
+		"encrypted, no password": {func(o *Options) { o.Key = e.writeFile("c.key", encryptedKey) }, "no password file"},
 		"wrong password": {func(o *Options) {
-			o.Key, o.KeyPasswordFile = e.writeFile("c.key", crypted), e.writeFile("word", []byte("wrong"))
+			o.Key, o.KeyPasswordFile = e.writeFile("c.key", encryptedKey), e.writeFile("word", []byte("wrong"))
 		}, "no private key"},
-		"foreign list": {func(o *Options) { o.CRLs = []string{e.writeFile("f.crl", foreign)} }, "none of the trusted"},
+		"foreign list": {func(o *Options) { o.CRLs = []string{e.writeFile("f.crl", otherCRL)} }, "none of the trusted"},
 		"no list":      {func(o *Options) { o.CRLs = []string{e.writeFile("n.crl", []byte("x"))} }, "revocation list 1"},
 	} {
 		o := good
 		x.change(&o)
 		_, err := Load(o, 1)
 		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "secret words") || strings.Contains(err.Error(), string(key[40:60])) {
-			t.Errorf("Load with %s: error %v, want %q and no secret", what, err, x.want)
+			t.Errorf("Load with %s: error %v, want %q and no secret", name, err, x.want)
 		}
 	}
 	o := good
-	o.Key, o.KeyPasswordFile = e.writeFile("c.key", crypted), e.writeFile("word", []byte("secret words\n"))
+	o.Key, o.KeyPasswordFile = e.writeFile("c.key", encryptedKey), e.writeFile("word", []byte("secret words\n"))
 	if _, err := Load(o, 1); err != nil {
 		t.Errorf("Load with the right password: %v", err)
 	}
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -15,20 +15,21 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Material is the complete and consistent content of the files. Its content never changes; a
-// replacement has a higher epoch. Verifications and sessions of one epoch are not valid in another.
+// Material is the complete and consistent content of the files. It never changes, except for its cache
+// of verifications; a replacement has a higher epoch. Verifications and sessions of one epoch are not
+// valid in another.
 type Material struct {
 	Epoch               uint64
-	NotAfter            time.Time         // the earliest end of the own certificate and the revocation lists; zero without either
-	digest              [sha256.Size]byte // changes if the content of the files does
+	NotAfter            time.Time         // the earliest end of the proxy's certificate and the revocation lists; zero if there is neither
+	digest              [sha256.Size]byte // of the trust bundles, revocation lists and certificate; the key must match the certificate
 	options             Options
 	roots               *x509.CertPool
 	authorities         int // number of certificates in roots
 	revocations         []revocationList
 	certificate         *tls.Certificate // the proxy's own; nil if it has none
-	certificateNotAfter time.Time
+	certificateNotAfter time.Time        // the earliest end of the proxy's certificate chain
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards verified
 	verified map[verifiedChain]validity
 }
 
@@ -54,7 +55,8 @@
 // during a rotation.
 const maxVerifiedChains = 1024
 
-// Load reads all files that o names. Its error joins all faults found in them.
+// Load reads all files that o names and returns their content as Material of the given epoch. Its error
+// joins all faults found in them.
 func Load(o Options, epoch uint64) (*Material, error) {
 	l := &loader{material: &Material{Epoch: epoch, options: o, roots: x509.NewCertPool(), verified: map[verifiedChain]validity{}}, digest: sha256.New()}
 	for _, path := range o.Trust {
@@ -78,15 +80,16 @@
 type loader struct {
 	material *Material
 	roots    []*x509.Certificate
-	digest   hash.Hash // of the bundles, revocation lists and certificate, in the order read
+	digest   hash.Hash // becomes Material.digest; of the files in the order read
 	faults   []error
 }
 
+// addFault adds a fault to those that Load returns.
 func (l *loader) addFault(err error) { l.faults = append(l.faults, err) }
 
-// addFile returns the content of a file and adds it to the digest. It returns nil after an error, which it
-// adds to the faults.
-func (l *loader) addFile(path string) []byte {
+// readFile returns the content of a file and adds it to the digest. After an error it returns nil and
+// adds the error to the faults.
+func (l *loader) readFile(path string) []byte {
 	data, err := certs.ReadFile(path)
 	if err != nil {
 		l.addFault(err)
@@ -97,7 +100,7 @@
 
 // loadBundle loads the trusted authorities in a file.
 func (l *loader) loadBundle(path string) {
-	data := l.addFile(path)
+	data := l.readFile(path)
 	if data == nil {
 		return
 	}
@@ -118,7 +121,7 @@
 
 // loadRevocations loads the revocation lists in a file. The bundles must be loaded before.
 func (l *loader) loadRevocations(path string) {
-	data := l.addFile(path)
+	data := l.readFile(path)
 	if data == nil {
 		return
 	}
@@ -134,7 +137,7 @@
 
 // loadCertificate loads the proxy's own certificate chain and key.
 func (l *loader) loadCertificate(o Options) {
-	l.addFile(o.Certificate)
+	l.readFile(o.Certificate)
 	pair, err := certs.LoadPair(o.Certificate, o.Key, o.KeyPasswordFile)
 	if err != nil {
 		l.addFault(err)
@@ -158,7 +161,7 @@
 	m.limitNotAfter(m.certificateNotAfter)
 }
 
-// limitNotAfter lowers m.NotAfter to t if t is earlier.
+// limitNotAfter lowers m.NotAfter to t if t is earlier, or sets it if it is zero.
 func (m *Material) limitNotAfter(t time.Time) {
 	if m.NotAfter.IsZero() || t.Before(m.NotAfter) {
 		m.NotAfter = t
@@ -186,8 +189,9 @@
 	return false
 }
 
-// parseRevocationLists parses revocation lists in PEM or DER. It returns an error if there is none, or
-// if one is not signed by an authority in roots or has no end of validity.
+// parseRevocationLists parses the revocation lists in data, in PEM or DER. It returns an error if there
+// is none, or if one is not signed by an authority in roots or has no end of validity. path appears in
+// errors.
 func parseRevocationLists(path string, data []byte, roots []*x509.Certificate) ([]revocationList, error) {
 	var lists []revocationList
 	for len(bytes.TrimSpace(data)) > 0 {
@@ -210,7 +214,7 @@
 			return lists, fmt.Errorf("%s: revocation list %d of %s is signed by none of the trusted authorities", path, len(lists)+1, crl.Issuer)
 		}
 		if l.nextUpdate.IsZero() {
-			return lists, fmt.Errorf("%s: revocation list %d does not say until when it holds", path, len(lists)+1)
+			return lists, fmt.Errorf("%s: revocation list %d has no time of the next update", path, len(lists)+1)
 		}
 		for _, e := range crl.RevokedCertificateEntries {
 			l.revoked[e.SerialNumber.String()] = true
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -18,24 +18,25 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Options are the settings of the section "tls". The files are given by their paths.
+// Options are the settings of the section "tls". Files are specified by their paths; an empty path means
+// that there is none.
 type Options struct {
 	Enabled                           bool
 	Trust, CRLs                       []string
 	Certificate, Key, KeyPasswordFile string
-	MinVersion                        string
+	MinVersion                        string            // oldest accepted version of TLS: "1.2" or "1.3"
 	Pattern, URI                      string            // pattern of the name in a host's certificate; at most one is set
 	Names                             map[string]string // by uid; takes precedence over the pattern
-	KeyExchange                       []string
+	KeyExchange                       []string          // keys of keyExchanges, the preferred first
 	ResumeSessions                    bool
-	MaxSessions                       int
+	MaxSessions                       int // cached sessions of all hosts together
 	Expiry                            certexpiry.Policy
-	OnExpiry                          string
+	OnExpiry                          string // "keep", or "move" to migrate connections before a certificate expires
 	Handshakes                        handshake.Limits
 }
 
-// Defaults returns the options without a settings file. TLS is off, and the other options have their
-// safer value.
+// Defaults returns the options without a settings file. TLS is off, and each other option has its safer
+// value if it has one.
 func Defaults() Options {
 	o := Options{MinVersion: "1.3", KeyExchange: []string{"x25519mlkem768", "x25519"}, ResumeSessions: true, MaxSessions: 256,
 		OnExpiry: "keep", Expiry: certexpiry.Policy{Before: 10 * time.Minute, MaxSharePerMinute: 0.1}, Handshakes: handshake.Defaults()}
@@ -105,7 +106,8 @@
 	}}
 }
 
-// isValidPattern reports whether s has only known placeholders, and at least one that distinguishes hosts.
+// isValidPattern reports whether s has only known placeholders, at least one that distinguishes hosts,
+// and no space or tab.
 func isValidPattern(s string) bool {
 	distinct := strings.Contains(s, "{uid}") || strings.Contains(s, "{host}")
 	rest := strings.NewReplacer("{uid}", "", "{zone}", "", "{host}", "").Replace(s)
@@ -130,7 +132,8 @@
 }
 
 // ExpectedName returns the name that the certificate of a host must contain. ok is false if the options
-// specify none, in which case no certificate is accepted.
+// specify none, or if the pattern has a placeholder whose value is empty; no certificate is accepted
+// then.
 func (o *Options) ExpectedName(uid, zone, host string) (name Name, ok bool) {
 	if n := o.Names[uid]; n != "" {
 		return Name{n, strings.Contains(n, "://")}, true
--- a/internal/dataplane/upstreamtls/peer.go
+++ b/internal/dataplane/upstreamtls/peer.go
@@ -16,6 +16,7 @@
 	chainValidUntil atomic.Int64 // end of the last verified chain, in Unix nanoseconds
 }
 
+// newTLSPeer returns the configuration for the host with the ID uid, whose certificate must contain name.
 func newTLSPeer(m *Material, uid string, name Name, cache *sessionCache, wallClock func() time.Time) *tlsPeer {
 	p := &tlsPeer{key: sessionKey{uid, name, m.Epoch}, material: m, cache: cache, wallClock: wallClock}
 	p.config = &tls.Config{
@@ -32,7 +33,8 @@
 			}
 			return m.certificate, nil
 		},
-		// Lines are short. Without dynamic sizing a longer line also fits one record.
+		// Lines are short and fit one record each. With dynamic sizing crypto/tls would split a longer
+		// line into several records.
 		DynamicRecordSizingDisabled: true,
 		Renegotiation:               tls.RenegotiateNever,
 	}
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestWatcher replaces files atomically, in place, half written and in the wrong order. Files that cannot
-// be used must change nothing and be logged once; others must be in use from the next poll on.
+// be used must not replace the material; the next poll must return new material for others.
 func TestWatcher(t *testing.T) {
 	e := newEnv(t, func(e *env) {
 		e.pki.Trusted.SaveClientCertificate(e.dir, certs.Spec{Name: "proxy"})
@@ -53,7 +53,7 @@
 	key, _ := pair.KeyPEM(nil)
 	certs.ReplaceFile(e.options.Key, key, 0o600)
 	if next := poll(true); next.certificate.Leaf.SerialNumber.Cmp(pair.Cert.SerialNumber) != 0 {
-		t.Error("the new certificate is not in use")
+		t.Errorf("new material has a certificate with serial %v, want %v", next.certificate.Leaf.SerialNumber, pair.Cert.SerialNumber)
 	}
 	// The same content in a new inode is not a replacement.
 	certs.ReplaceFile(e.options.Key, key, 0o600)
@@ -68,15 +68,15 @@
 func TestReuseEndsWithItsEpoch(t *testing.T) {
 	e := newEnv(t, nil)
 	s := e.newServer(nil)
-	resumed := func() bool {
+	connectResumes := func() bool {
 		t.Helper()
 		c := e.openRequest(s.Addr())
-		reused := false
-		e.onLoop(func() { reused = c.netConn.Layer().(*session).resumed; c.netConn.Close() })
-		return reused
+		resumed := false
+		e.onLoop(func() { resumed = c.netConn.Layer().(*session).resumed; c.netConn.Close() })
+		return resumed
 	}
-	if resumed() || !resumed() {
-		t.Fatal("want a full handshake, then a resumed one")
+	if connectResumes() || !connectResumes() {
+		t.Fatal("the first handshake was resumed or the second was not, want one full and one resumed")
 	}
 	fake.SaveTrustBundle(e.dir, e.pki.Trusted, e.pki.Other)
 	m, err := Load(e.options, 2)
@@ -84,11 +84,11 @@
 		t.Fatal(err)
 	}
 	e.onLoop(func() { e.dialer.SetMaterial(m) })
-	if resumed() {
-		t.Error("a session of the old epoch was resumed")
+	if connectResumes() {
+		t.Error("a session of epoch 1 was resumed in epoch 2")
 	}
-	if !resumed() {
-		t.Error("no session of the new epoch was resumed")
+	if !connectResumes() {
+		t.Error("the second handshake of epoch 2 was not resumed")
 	}
 	o := e.options
 	o.Names = map[string]string{"s1": "s2.test"}
@@ -155,11 +155,11 @@
 		t.Errorf("after a, b, a, c the cache of 2 holds %d sessions, a: %t, b: %t; want 2, a and not b", c.len(), c.get(key("a"), now) != nil, c.get(key("b"), now) != nil)
 	}
 	if c.get(key("a"), now.Add(2*time.Hour)) != nil || c.len() != 1 {
-		t.Errorf("cache holds %d sessions, want 1 after the certificate of the other expired", c.len())
+		t.Errorf("after the certificate of a expired the cache returns its session or holds %d sessions, want none for a and 1 in total", c.len())
 	}
 	c.put(key("c"), nil, now)
 	if c.len() != 0 {
-		t.Errorf("cache holds %d sessions, want 0 after the host withdrew the last", c.len())
+		t.Errorf("after the host withdrew the last session the cache holds %d sessions, want 0", c.len())
 	}
 }
 
@@ -185,9 +185,9 @@
 		f.Fatal(err)
 	}
 	good, _ := pki.CRL(time.Now().Add(time.Hour))
-	foreign, _ := fake.OtherCRL(pki)
+	otherCRL, _ := fake.OtherCRL(pki)
 	f.Add(good)
-	f.Add(foreign)
+	f.Add(otherCRL)
 	f.Add(good[:len(good)/2])
 	f.Add([]byte("0\x80"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -11,8 +11,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// maxSealedBytes is the maximum number of bytes of a connection that are not decrypted yet: what
-// netpoll reads at once while the input is at its limit. crypto/tls buffers one record more.
+// maxSealedBytes is the maximum number of bytes of a connection that are buffered before decryption. It
+// is what netpoll reads at once while the input is at its limit. crypto/tls buffers one record more.
 const maxSealedBytes = 128 << 10
 
 // handshakeReadSize is the size of a read during the handshake, in bytes.
@@ -24,11 +24,11 @@
 type session struct {
 	socket              *sealedSocket
 	tlsConn             *tls.Conn
-	resumed             bool
+	resumed             bool                        // whether the handshake resumed a cached session
 	certificateNotAfter time.Time                   // the earliest end of the certificates of either side
-	dataReceived        bool                        // application data was received
-	mayHaveBuffered     bool                        // crypto/tls may have decrypted more than the last call of Open returned
-	onFailure           func(f *Failure, late bool) // called at most once, if the connection breaks; may be nil
+	dataReceived        bool                        // whether application data was received
+	mayHaveBuffered     bool                        // whether crypto/tls may have decrypted more than the last call of Open returned
+	onFailure           func(f *Failure, late bool) // called at most once, if the connection breaks (see logBrokenSession); may be nil
 }
 
 var _ netio.Layer = (*session)(nil)
@@ -44,10 +44,10 @@
 func (s *session) Receive(p []byte) bool { return s.socket.sealed.Append(p) == len(p) }
 
 // Open decrypts into p what can be decrypted now, and returns the number of bytes. It returns 0, nil if
-// no complete record has arrived.
+// no complete record has arrived, and io.EOF after the peer's close_notify alert.
 func (s *session) Open(p []byte) (int, error) {
 	if !s.mayHaveBuffered && !s.socket.hasCompleteRecord() {
-		return 0, nil // crypto/tls would allocate an error, for every line
+		return 0, nil // calling crypto/tls would allocate an error for every line
 	}
 	n, err := s.tlsConn.Read(p)
 	s.dataReceived = s.dataReceived || n > 0
@@ -76,7 +76,7 @@
 // acted on the request.
 type lateRejection struct{ *Failure }
 
-// Unwrap returns the failure.
+// Unwrap returns the failure, with its reason.
 func (l *lateRejection) Unwrap() error { return l.Failure }
 
 // RefusedBeforeRead returns true, because the host has read no application data of this connection.
@@ -94,13 +94,13 @@
 // Buffered returns the number of bytes that are not decrypted yet.
 func (s *session) Buffered() int { return s.socket.sealed.Len() }
 
-// errWouldBlock is returned if a read would block. crypto/tls can continue after a temporary error.
+// errWouldBlock is returned by a read that would block. crypto/tls can continue after a temporary error.
 var errWouldBlock error = wouldBlock{}
 
 // wouldBlock is a temporary net.Error.
 type wouldBlock struct{}
 
-// Error returns a text for the log.
+// Error implements error. crypto/tls passes the error to Open, which does not return it.
 func (wouldBlock) Error() string { return "no more for now" }
 
 // Timeout returns false, since no deadline has passed.
@@ -118,7 +118,7 @@
 	hasToken       bool          // whether this socket holds computeToken
 	received       bool          // whether any byte was received
 	computingSince time.Time     // when hasToken was last set
-	computeTime    time.Duration // computed so far in the handshake
+	computeTime    time.Duration // total time that this side held computeToken
 
 	sealed          netio.Buffer   // received, not yet read by crypto/tls
 	recordRemaining int            // bytes of the current record that crypto/tls has not read
@@ -184,7 +184,8 @@
 }
 
 // acquireToken waits for the token that allows one handshake at a time to compute. When the loop wakes,
-// it then waits in Go's run queue for a step of one handshake, and not for one of each in flight.
+// at most one handshake's computation is then ahead of it in Go's run queue, and not one of each
+// handshake in flight.
 func (w *sealedSocket) acquireToken() {
 	w.computeToken <- struct{}{}
 	w.hasToken = true
@@ -202,8 +203,8 @@
 	runtime.Gosched()
 }
 
-// Close implements net.Conn and does nothing. crypto/tls uses the result of none of the methods below
-// but RemoteAddr, as a session key that tlsPeer ignores.
+// Close implements net.Conn and does nothing. Of the results of this and the following methods,
+// crypto/tls uses only that of RemoteAddr, as a session key that tlsPeer ignores.
 func (w *sealedSocket) Close() error { return nil }
 
 // LocalAddr implements net.Conn and returns an empty address.
--- a/internal/dataplane/upstreamtls/verify.go
+++ b/internal/dataplane/upstreamtls/verify.go
@@ -18,11 +18,11 @@
 	}
 	for _, l := range m.revocations {
 		if now.After(l.nextUpdate) {
-			return &Failure{Reason: OwnTrustUnusable, Step: "queue", Err: fmt.Errorf("the revocation list %s ran out %s", l.file, l.nextUpdate.UTC().Format(time.RFC3339))}
+			return &Failure{Reason: OwnTrustUnusable, Step: "queue", Err: fmt.Errorf("the revocation list %s expired at %s", l.file, l.nextUpdate.UTC().Format(time.RFC3339))}
 		}
 	}
 	if m.certificate != nil && now.After(m.certificateNotAfter) {
-		return &Failure{Reason: OwnCertificateExpired, Step: "queue", Err: fmt.Errorf("%s ended %s", m.options.Certificate, m.certificateNotAfter.UTC().Format(time.RFC3339))}
+		return &Failure{Reason: OwnCertificateExpired, Step: "queue", Err: fmt.Errorf("%s expired at %s", m.options.Certificate, m.certificateNotAfter.UTC().Format(time.RFC3339))}
 	}
 	return nil
 }
@@ -32,7 +32,7 @@
 // checked every time. Verify may be called from any goroutine.
 func (m *Material) Verify(presented []*x509.Certificate, name Name, now time.Time) (time.Time, error) {
 	if len(presented) == 0 {
-		return time.Time{}, newCertificateFailure(NoCertificate, "the host showed none")
+		return time.Time{}, newCertificateFailure(NoCertificate, "the host presented no certificate")
 	}
 	key := verifiedChain{name: name}
 	sum := sha256.New()
@@ -94,7 +94,7 @@
 	return validity{}, err
 }
 
-// verifyName returns an error if a certificate is not issued for name.
+// verifyName returns an error if leaf is not issued for name. A URI must match exactly.
 func verifyName(leaf *x509.Certificate, name Name) error {
 	if !name.IsURI {
 		if err := leaf.VerifyHostname(name.Text); err != nil {
@@ -123,7 +123,7 @@
 			return valid, newCertificateFailure(WeakKey, "%s: %s", c.Subject, w)
 		}
 		if i+1 == len(chain) {
-			break
+			break // the root is trusted; revocation lists are checked only for certificates issued in the chain
 		}
 		for _, l := range m.revocations {
 			if bytes.Equal(l.issuer, c.RawIssuer) && (len(l.keyID) == 0 || bytes.Equal(l.keyID, chain[i+1].SubjectKeyId)) &&
--- a/internal/dataplane/upstreamtls/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -59,18 +59,19 @@
 	}
 }
 
-// watcher detects changes of the files.
+// watcher detects changes of the files. Only the goroutine of watch uses it.
 type watcher struct {
-	current     *Material
-	options     Options
-	fingerprint string
-	changedAt   time.Time
-	lastFault   string // the last logged fault, or "" if the files could be used
+	current     *Material // the last returned by poll, or the initial one
+	options     Options   // for the next Load
+	fingerprint string    // of the files at the last poll
+	changedAt   time.Time // when the fingerprint last changed
+	lastFault   string    // the last logged fault, or "" if the files could be used
 }
 
 // poll returns new material if the files or the options have changed and can be used, and nil otherwise.
-// It logs a fault once, until it changes. wall is the wall-clock time.
-func (w *watcher) poll(force bool, wall time.Time) *Material {
+// It reads the files if they seem changed, soon after a change, or if force is true. It logs a fault
+// once, until it changes. wallTime is the wall-clock time, for the log.
+func (w *watcher) poll(force bool, wallTime time.Time) *Material {
 	now := time.Now()
 	if s := fileFingerprint(w.options.Files()); s != w.fingerprint {
 		w.fingerprint, w.changedAt = s, now
@@ -82,7 +83,7 @@
 		if text := err.Error(); text != w.lastFault {
 			w.lastFault = text
 			slog.Warn("tls_files_kept", "reason", strings.ReplaceAll(text, "\n", "; "), "epoch", w.current.Epoch,
-				"in_use_until", describeTime(w.current.NotAfter, wall))
+				"in_use_until", describeTime(w.current.NotAfter, wallTime))
 		}
 		return nil
 	}
@@ -91,7 +92,7 @@
 		return nil
 	}
 	w.current = m
-	slog.Info("tls_files_taken", "epoch", m.Epoch, "authorities", m.authorities, "lists", len(m.revocations), "until", describeTime(m.NotAfter, wall))
+	slog.Info("tls_files_taken", "epoch", m.Epoch, "authorities", m.authorities, "lists", len(m.revocations), "until", describeTime(m.NotAfter, wallTime))
 	return m
 }
 
--- a/internal/dataplane/upstreamtls/worker.go
+++ b/internal/dataplane/upstreamtls/worker.go
@@ -20,15 +20,16 @@
 type handshakeJob struct {
 	requestID uint64
 	peer      *tlsPeer
-	address   string
+	address   string // "host:port"
 	deadline  time.Time
 
 	mu      sync.Mutex // guards conn and aborted, which the loop and the worker use
-	conn    net.Conn
-	aborted bool
+	conn    net.Conn   // nil until connected
+	aborted bool       // whether abort was called
 }
 
-// abort ends the handshake. It is called on the loop.
+// abort ends the handshake. A connect in progress is not interrupted, but its connection is not used.
+// It is called on the loop.
 func (j *handshakeJob) abort() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
