--- a/internal/dataplane/upstreamtls/dialer.go
+++ b/internal/dataplane/upstreamtls/dialer.go
@@ -40,7 +40,7 @@
 // counts are the handshakes since the last log line, and the time this side spent computing them.
 type counts struct {
 	full, resumed int
-	computeTime   time.Duration
+	totalComputeTime   time.Duration
 	failed        map[Reason]int
 }
 
@@ -166,7 +166,7 @@
 		failed = append(failed, fmt.Sprintf("%s:%d", r, n))
 	}
 	sort.Strings(failed)
-	slog.Info("tls_counts", "full", c.full, "resumed", c.resumed, "cpu_ms", c.computeTime.Milliseconds(), "queued", d.budget.Waiting(),
+	slog.Info("tls_counts", "full", c.full, "resumed", c.resumed, "cpu_ms", c.totalComputeTime.Milliseconds(), "queued", d.budget.Waiting(),
 		"in_flight", d.budget.InFlight(), "sessions", d.cache.len(), "epoch", d.material.Epoch, "failed", strings.Join(failed, ","))
 	d.counts = counts{failed: map[Reason]int{}}
 }
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -72,17 +72,11 @@
 
 // rejectionAlerts are the alerts by which a peer rejects this side's handshake (RFC 8446, 6.2). A peer
 // that has read application data sends none of them, since it has accepted the handshake by then.
-var rejectionAlerts = map[uint64]bool{
-	40:  true, // handshake_failure
-	42:  true, // bad_certificate
-	43:  true, // unsupported_certificate
-	44:  true, // certificate_revoked
-	45:  true, // certificate_expired
-	46:  true, // certificate_unknown
-	48:  true, // unknown_ca
-	49:  true, // access_denied
-	116: true, // certificate_required
-}
+//
+// They are handshake_failure (40), bad_certificate (42), unsupported_certificate (43),
+// certificate_revoked (44), certificate_expired (45), certificate_unknown (46), unknown_ca (48),
+// access_denied (49) and certificate_required (116).
+var rejectionAlerts = map[uint64]bool{40: true, 42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
 
 // The other alerts that classifyTLSError distinguishes (RFC 8446, 6.2).
 const (
--- a/internal/dataplane/upstreamtls/worker.go
+++ b/internal/dataplane/upstreamtls/worker.go
@@ -114,7 +114,7 @@
 
 // handshakeEnded handles the result of a job on the loop. The dial may have ended meanwhile.
 func (d *Dialer) handshakeEnded(j *handshakeJob, s *session, fd int, computeTime time.Duration, f *Failure) {
-	d.counts.computeTime += computeTime
+	d.counts.totalComputeTime += computeTime
 	d.budget.Done(d.loop.Now(), j.requestID, s != nil && s.resumed, computeTime, f == nil)
 	dial := d.dials[j.requestID]
 	switch {
