--- a/internal/dataplane/upstreamtls/dialer.go
+++ b/internal/dataplane/upstreamtls/dialer.go
@@ -39,9 +39,9 @@
 
 // counts are the handshakes since the last log line, and the time this side spent computing them.
 type counts struct {
-	full, resumed int
-	totalComputeTime   time.Duration
-	failed        map[Reason]int
+	full, resumed    int
+	totalComputeTime time.Duration
+	failed           map[Reason]int
 }
 
 // maxPeers is the maximum number of hosts whose TLS configuration is cached. At the maximum the cache
