--- a/internal/app/command/certs.go
+++ b/internal/app/command/certs.go
@@ -27,8 +27,9 @@
 type newCertificate struct {
 	certPath, keyPath string // output files
 	passwordFile      string // path; if empty, the key is not encrypted
-	kind, lifetime    string
-	force             bool // replace existing files
+	kind              string // one of certs.KeyKinds
+	lifetime          string // with its unit, such as "90d"
+	force             bool   // replace existing files
 }
 
 // addFlags adds the flags to cmd. By default the files are name.pem and name.key, and the
@@ -91,6 +92,7 @@
 	return password, nil
 }
 
+// caCommand returns the command that makes a certificate authority.
 func caCommand() *cobra.Command {
 	var n newCertificate
 	cmd := &cobra.Command{Use: "ca NAME", Short: "Make a certificate authority", Args: cobra.ExactArgs(1),
@@ -106,6 +108,7 @@
 	return cmd
 }
 
+// issueCommand returns the command that makes a certificate signed by an authority.
 func issueCommand() *cobra.Command {
 	var n newCertificate
 	var caCertPath, caKeyPath, caPasswordFile string
@@ -145,6 +148,7 @@
 	return cmd
 }
 
+// inspectCommand returns the command that prints the properties of certificates.
 func inspectCommand() *cobra.Command {
 	return &cobra.Command{Use: "inspect FILE...", Short: "Say what certificates hold", Args: cobra.MinimumNArgs(1),
 		Example: "  croftlock certs inspect ca.pem cat3.pem",
@@ -171,6 +175,7 @@
 	return certs.ParseBundle(path, data)
 }
 
+// verifyCommand returns the command that verifies a server's certificate as the proxy does.
 func verifyCommand() *cobra.Command {
 	var trustPath, keyPath, passwordFile, name string
 	var crlPaths []string
--- a/internal/app/command/certs_test.go
+++ b/internal/app/command/certs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// commandTest runs commands on files in a directory of its own.
+// commandTest runs commands on files in a temporary directory.
 type commandTest struct {
 	*testing.T
 	dir string
@@ -50,6 +50,8 @@
 	c.formatSettings()
 }
 
+// makeCertificates makes an authority and the certificates that the other steps use, and checks
+// that wrong arguments are errors.
 func (c *commandTest) makeCertificates() {
 	c.Helper()
 	writeFile(c.T, c.path("pass"), "correct horse\n")
@@ -64,6 +66,8 @@
 	c.succeeds("use          client", append(issue, "--client", "--out", c.path("c.pem"), "--key", c.path("c.key"))...)
 }
 
+// inspectAndVerify checks that certificates are described and that verify rejects a wrong name, use
+// or key.
 func (c *commandTest) inspectAndVerify() {
 	c.Helper()
 	c.succeeds("1 of 1", "certs", "inspect", c.path("s.pem"))
@@ -73,6 +77,7 @@
 	c.fails("does not belong", "certs", "verify", c.path("s.pem"), "--trust", c.path("ca.pem"), "--name", "cat3.test", "--key", c.path("c.key"))
 }
 
+// checkSettings checks valid and invalid settings files with the commands check and settings show.
 func (c *commandTest) checkSettings() {
 	c.Helper()
 	valid := `(tls (servers on) (trust "ca.pem") (certificate "c.pem") (key "c.key") (name (pattern "{uid}.test")))`
@@ -87,6 +92,8 @@
 	c.fails("nothing to check", "check")
 }
 
+// formatSettings checks that settings fmt prints and replaces a file, and does not change an
+// invalid one.
 func (c *commandTest) formatSettings() {
 	c.Helper()
 	c.succeeds("(log (level warn))", "settings", "fmt", c.write("( log (level\nwarn ) )"))
--- a/internal/app/command/command.go
+++ b/internal/app/command/command.go
@@ -118,6 +118,7 @@
 	return nil
 }
 
+// settingsCommand returns the commands that print or format the settings file.
 func (c *commands) settingsCommand() *cobra.Command {
 	group := &cobra.Command{Use: "settings", Short: "Look at the operators' file"}
 	group.AddCommand(&cobra.Command{Use: "show", Args: cobra.NoArgs,
--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -60,8 +60,9 @@
 }
 
 // send sends a request to the owner agent and prints the reply with show, or the answer as text if
-// show is nil. As text, an answer that the request was rejected or that its outcome is unknown is
-// an error, too.
+// show is nil. It returns an error if the reply contains one, and, without show, if the answer is
+// that the request was rejected or that its outcome is unknown. With --json it prints any reply and
+// returns no error for its content.
 func (f *fleetClient) send(cmd *cobra.Command, request owneragent.Request, show printReply) error {
 	socket, err := f.socketPath("owners")
 	if err != nil {
@@ -110,6 +111,7 @@
 	}
 }
 
+// ownersCommand returns the commands that print and move the owners of the fleet's jobs.
 func (f *fleetClient) ownersCommand() *cobra.Command {
 	owners := &cobra.Command{Use: "owners", Args: cobra.NoArgs, Short: "Tell who owns which of the fleet's jobs", RunE: f.withoutArguments("owners", printOwners),
 		Example: "  croftlock owners --socket /run/croftlock/owners.sock\n  croftlock owners move hosts proxy-2"}
@@ -118,6 +120,7 @@
 	return owners
 }
 
+// groupCommand returns the commands that print and change the replicated group.
 func (f *fleetClient) groupCommand() *cobra.Command {
 	group := &cobra.Command{Use: "group", Short: "The voters that the owners rest on"}
 	group.AddCommand(&cobra.Command{Use: "status", Args: cobra.NoArgs, Short: "Tell how the group stands, as this proxy sees it", RunE: f.withoutArguments("status", printGroup)})
@@ -131,6 +134,7 @@
 	return group
 }
 
+// fleetCommand returns the commands that suspend and resume hosts fleet-wide.
 func (f *fleetClient) fleetCommand() *cobra.Command {
 	fleet := &cobra.Command{Use: "fleet", Short: "What holds at every proxy"}
 	for _, name := range []string{"suspend", "resume"} {
@@ -142,6 +146,7 @@
 	return fleet
 }
 
+// membersCommand returns the command that prints the members in the view of the replying proxy.
 func (f *fleetClient) membersCommand() *cobra.Command {
 	return &cobra.Command{Use: "members", Args: cobra.NoArgs, Short: "Tell which proxies are there, as this one sees them",
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/internal/app/command/hotrestart_test.go
+++ b/internal/app/command/hotrestart_test.go
@@ -18,6 +18,7 @@
 	setup experiment.Setup
 }
 
+// newHotRestartTest starts the hosts and their discovery service, but no process yet.
 func newHotRestartTest(t *testing.T) *hotRestartTest {
 	t.Helper()
 	discovery := newHosts(t, "a", "s0", "s1").Discovery
@@ -30,8 +31,7 @@
 			Deadline: 4800 * time.Millisecond, Env: asProgram}}
 }
 
-// start starts a process with an admin interface of its own, and returns the address of that
-// interface.
+// start starts a process with its own admin interface, and returns the address of that interface.
 func (h *hotRestartTest) start() (p *experiment.Process, admin string, err error) {
 	setup := h.setup
 	if setup.Admin, err = experiment.FreeAddr(); err == nil {
--- a/internal/app/command/ledger_test.go
+++ b/internal/app/command/ledger_test.go
@@ -25,6 +25,7 @@
 	ledgerGroups  = 3 // groups of clients
 )
 
+// newLedgerTier starts the proxies, with a mesh between them, and the hosts.
 func newLedgerTier(t *testing.T) *ledgerTier {
 	t.Helper()
 	rigSlots <- struct{}{}
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -43,6 +43,8 @@
 	return load
 }
 
+// request requests one connection and counts the outcome. A missing answer counts as rejected if
+// the process is paused by then.
 func (l *tenantLoad) request(proxy, tenant string, paused *atomic.Bool) {
 	client, answer, _ := fake.Open(proxy, "lab", "t="+tenant, 400*time.Millisecond)
 	l.mu.Lock()
@@ -59,6 +61,7 @@
 	}
 }
 
+// close closes a connection, which no longer counts as open.
 func (l *tenantLoad) close(client *fake.Client) {
 	l.mu.Lock()
 	l.open--
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -91,7 +91,7 @@
 	c.checkNamespaceIsolation()
 	c.reassignHostAndTenant()
 	if _, migrated, err := established.Exchange("still there", time.Second); migrated || err != nil {
-		t.Errorf("acme's connection at a2 after the reassignment: migrated %t, error %v", migrated, err)
+		t.Errorf("acme's connection at a2 after the reassignment: migrated %t, error %v; want false and none", migrated, err)
 	}
 	c.clients.check(t, 0)
 	c.checkAttempts()
--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -71,6 +71,7 @@
 	}
 }
 
+// checkOwnersThroughFaults checks that every job has one owner after each of several faults.
 func checkOwnersThroughFaults(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	owners := waitOwners(t, rig, "the start")
@@ -89,7 +90,6 @@
 		t.Fatal(err)
 	}
 	waitOwners(t, rig, "the cut ended")
-
 	for i := range rig.Procs {
 		rig.Procs[i].Kill()
 	}
@@ -99,13 +99,12 @@
 		}
 	}
 	waitOwners(t, rig, "all were killed and started again")
-
 	if err := rig.Procs[4].Stop(); err != nil {
 		t.Fatal(err)
 	}
 	waitOwners(t, rig, "a graceful shutdown of n4", 4)
 	if err := rig.CheckTokens(); err != nil {
-		t.Error(err)
+		t.Errorf("the fencing tokens of the jobs: %v", err)
 	}
 }
 
@@ -229,6 +228,7 @@
 	voters, members int
 }
 
+// groupStatus returns the replicated group as process i reports it, or zero if it reports none.
 func groupStatus(rig *experiment.Rig, i int) (status replicaStatus) {
 	reply, err := rig.SendOwnerRequest(i, owneragent.Request{Command: "status"})
 	if err != nil || reply.Group == nil {
--- a/internal/app/command/process_test.go
+++ b/internal/app/command/process_test.go
@@ -74,6 +74,7 @@
 	return ""
 }
 
+// writeFile writes a file that only its owner may access.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -17,10 +17,10 @@
 
 // rulesCommand returns the group of commands for the rules on which all proxies agree.
 func (f *fleetClient) rulesCommand() *cobra.Command {
-	all := &cobra.Command{Use: "rules", Short: "Rules on which all proxies agree"}
-	all.AddCommand(f.putCommand(), f.dropCommand(), f.rollbackCommand(), f.diffCommand(), f.explainCommand(), checkRulesCommand(), keyCommand(),
+	group := &cobra.Command{Use: "rules", Short: "Rules on which group proxies agree"}
+	group.AddCommand(f.putCommand(), f.dropCommand(), f.rollbackCommand(), f.diffCommand(), f.explainCommand(), checkRulesCommand(), keyCommand(),
 		f.historyCommand(), f.rulesStatusCommand(), f.showCommand())
-	return all
+	return group
 }
 
 // query sends an encoded query or proposal to the rules' publisher and prints the reply.
@@ -28,6 +28,7 @@
 	return f.send(cmd, owneragent.Request{Command: "rules", Rules: message}, nil)
 }
 
+// historyCommand returns the command that prints the audit log.
 func (f *fleetClient) historyCommand() *cobra.Command {
 	c := &cobra.Command{Use: "history", Args: cobra.NoArgs, Example: "  croftlock rules history --account acme",
 		Short: "Tell which changes were made, by whom and by which grant, and which were refused since this keeper began"}
@@ -36,12 +37,14 @@
 	return c
 }
 
+// rulesStatusCommand returns the command that prints which member holds a lease for which version.
 func (f *fleetClient) rulesStatusCommand() *cobra.Command {
 	return &cobra.Command{Use: "status", Args: cobra.NoArgs, Example: "  croftlock rules status",
 		Short: "Tell who may act by which version and for how long, who has the next one ready or why not, and what is waited for",
 		RunE:  func(cmd *cobra.Command, _ []string) error { return f.query(cmd, rules.QueryStatus()) }}
 }
 
+// showCommand returns the command that prints the active version or the text of a version.
 func (f *fleetClient) showCommand() *cobra.Command {
 	return &cobra.Command{Use: "show [VERSION]", Args: cobra.MaximumNArgs(1), Example: "  croftlock rules show 0",
 		Short: "Tell which version is active, at how many, and who has no right; with a number, what that version says (0: the active one)",
@@ -57,6 +60,7 @@
 		}}
 }
 
+// checkRulesCommand returns the command that validates a file with a change without a proxy.
 func checkRulesCommand() *cobra.Command {
 	return &cobra.Command{Use: "check FILE", Args: cobra.ExactArgs(1), Short: "Say what is wrong with a file of rules, a namespace or an account, without asking anybody", Example: "  croftlock rules check rules.sexp",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -120,6 +124,7 @@
 	}
 }
 
+// explainCommand returns the command that prints how the proxy decides on a request, and why.
 func (f *fleetClient) explainCommand() *cobra.Command {
 	var zone string
 	c := &cobra.Command{Use: "explain 'OPEN …'", Args: cobra.ExactArgs(1), Short: "Say what becomes of a request by the version that this proxy acts by, and why",
--- a/internal/app/command/ruleschange.go
+++ b/internal/app/command/ruleschange.go
@@ -35,6 +35,7 @@
 	return c
 }
 
+// putCommand returns the command that proposes rules, a namespace or an account.
 func (f *fleetClient) putCommand() *cobra.Command {
 	return f.changeCommand(&cobra.Command{Use: "put FILE", Short: "Propose the operators' rules, whole, or an account's namespace, or an account below another",
 		Long: "FILE holds one section: (rules …), (namespace …) or (account …). The answer says at how many proxies it is active and whose right has lapsed; refused,\n" +
@@ -73,6 +74,7 @@
 	return file.Value(sections[0]), nil
 }
 
+// dropCommand returns the command that proposes the removal of an account.
 func (f *fleetClient) dropCommand() *cobra.Command {
 	return f.changeCommand(&cobra.Command{Use: "drop ACCOUNT", Short: "Propose the end of an account below another, with all below it and their namespaces",
 		Example: "  croftlock rules drop acme/web --against 9"},
@@ -81,12 +83,14 @@
 		})
 }
 
+// rollbackCommand returns the command that proposes the content of an earlier version as a new
+// version.
 func (f *fleetClient) rollbackCommand() *cobra.Command {
 	return f.changeCommand(&cobra.Command{Use: "rollback VERSION", Short: "Propose everything as an earlier version had it, as a new version",
 		Example: "  croftlock rules rollback 6 --against 9"},
 		func(version string, against uint64) (*rules.Change, error) {
-			to, err := strconv.ParseUint(version, 10, 64)
-			return rules.NewRollback(to, against, nil), err
+			earlier, err := strconv.ParseUint(version, 10, 64)
+			return rules.NewRollback(earlier, against, nil), err
 		})
 }
 
@@ -103,8 +107,8 @@
 	return key, nil
 }
 
-// sign gives a change an ID and signs it with the key in the file path. It does nothing if path is
-// empty: the change is then the operators'.
+// sign assigns an ID to a change and signs it with the key in the file path. It does nothing if path
+// is empty: the change is then the operators'.
 func sign(c *rules.Change, path string) error {
 	if path == "" {
 		return nil
@@ -118,6 +122,7 @@
 	return nil
 }
 
+// keyCommand returns the command that prints a public key in the form that a grant contains.
 func keyCommand() *cobra.Command {
 	return &cobra.Command{Use: "key FILE", Args: cobra.ExactArgs(1), Short: "Print the public half of an Ed25519 key as a grant names it", Example: "  croftlock rules key acme.key",
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/app/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	at, err := time.Parse("2006/01/02 15:04:05.000000", logTimestamp.FindString(line))
 	if err != nil {
-		t.Fatalf("a line that the checker can't read: %q", line)
+		t.Fatalf("log line without a timestamp: %q", line)
 	}
 	return at
 }
@@ -61,7 +61,7 @@
 	for _, line := range p.LogLines("event=rules_applied") {
 		match := ruleDecisionLine.FindStringSubmatch(line)
 		if match == nil {
-			t.Fatalf("a line that the checker can't read: %q", line)
+			t.Fatalf("log line without version=N and lapsed=true or false: %q", line)
 		}
 		version, _ := strconv.Atoi(match[1])
 		all = append(all, ruleDecision{loggedAt(t, line), version, match[2] == "true"})
@@ -108,7 +108,7 @@
 		answer = fmt.Sprint(reply.Answer, reply.Error, err)
 		return strings.HasPrefix(answer, want)
 	}); !ok {
-		t.Fatalf("n%d says %q, want %q", i, answer, want)
+		t.Fatalf("n%d answers %q, want %q", i, answer, want)
 	}
 }
 
--- a/internal/app/command/tls_test.go
+++ b/internal/app/command/tls_test.go
@@ -27,6 +27,7 @@
 	proxy     *experiment.Process
 }
 
+// newTLSTest starts the servers, their discovery service and the proxy.
 func newTLSTest(t *testing.T) *tlsTest {
 	t.Helper()
 	dir := t.TempDir()
@@ -68,6 +69,7 @@
 	return s
 }
 
+// newServer starts a server with the ID uid in zone a.
 func (s *tlsTest) newServer(uid string, config *tls.Config) *fake.Server {
 	s.Helper()
 	server, err := fake.NewServer(uid, "a", config)
@@ -78,6 +80,7 @@
 	return server
 }
 
+// write writes a file.
 func (s *tlsTest) write(path, text string) {
 	s.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
--- a/internal/app/command/watermarks_test.go
+++ b/internal/app/command/watermarks_test.go
@@ -21,6 +21,8 @@
 	clients *clientLoop
 }
 
+// newWatermarkTest starts the hosts, the discovery services, the processes and the clients, and
+// waits until all processes see one another alive.
 func newWatermarkTest(t *testing.T) *watermarkTest {
 	t.Helper()
 	const processes = 5
--- a/internal/app/node/discovery.go
+++ b/internal/app/node/discovery.go
@@ -7,13 +7,13 @@
 
 // listReceived applies a watch event. A new process that waits for its own list begins to take
 // over. An old process sends its list to the new one.
-func (p *process) listReceived(ch proxy.WatchEvent) {
-	p.core.ListReceived(ch)
-	if ch.Kind == balancer.ListFailed {
+func (p *process) listReceived(event proxy.WatchEvent) {
+	p.core.ListReceived(event)
+	if event.Kind == balancer.ListFailed {
 		return
 	}
 	p.becomeTakingOver()
-	if p.restart.partner != nil && p.restart.isOld && len(ch.Hosts) > 0 {
+	if p.restart.partner != nil && p.restart.isOld && len(event.Hosts) > 0 {
 		// Sent at once: this process may end before the new one has its own list.
 		s := p.snapshot(false)
 		p.restart.partner.SendListChanged(&proxy.Snapshot{WrittenAt: s.WrittenAt, Discovery: s.Discovery, Revision: s.Revision, Hosts: s.Hosts})
--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -13,7 +13,7 @@
 // rejoinInterval is the delay before rejoinFleet retries.
 const rejoinInterval = 250 * time.Millisecond
 
-// fleet holds the settings file's options for the fleet and the agents that run by them.
+// fleet holds the settings file's options for the fleet and the agents that use them.
 type fleet struct {
 	memberOptions    memberagent.Options
 	ownerOptions     owneragent.Options
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -113,28 +113,28 @@
 // number of downstreams that the core accepts.
 func (p *process) makeCore(tls upstreamtls.Options) (maxDownstreams int, err error) {
 	cfg := p.cfg
-	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, WallClock: func() time.Time { return netio.WallClock() }}
+	options := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, WallClock: func() time.Time { return netio.WallClock() }}
 	p.dialer = netio.NewDialer(p.loop, cfg.MaxDials())
 	opener := lineproto.PlainTCP(p.dialer)
 	if tls.Enabled {
-		if p.tlsDialer, err = newUpstreamTLS(p.loop, tls, opt.WallClock); err != nil {
+		if p.tlsDialer, err = newUpstreamTLS(p.loop, tls, options.WallClock); err != nil {
 			return 0, err
 		}
 		opener = tlsOpener(p.tlsDialer)
-		opt.Expiry = tls.Expiry
+		options.Expiry = tls.Expiry
 		// A handshake in progress holds a descriptor, and a second one while its socket is passed
 		// on.
-		opt.MaxDownstreams = max(1, opt.MaxDownstreams-tls.Handshakes.MaxInFlight)
+		options.MaxDownstreams = max(1, options.MaxDownstreams-tls.Handshakes.MaxInFlight)
 	}
 	var reportsInAnswers []string
 	if cfg.ReportsInAnswers {
 		reportsInAnswers = cfg.ReportFields
 	}
-	p.core = proxy.New(p.loop, lineproto.NewConnector(p.loop, opener, reportsInAnswers), opt)
+	p.core = proxy.New(p.loop, lineproto.NewConnector(p.loop, opener, reportsInAnswers), options)
 	if n := cfg.MaxHealthChecks(); n > 0 {
 		p.core.SetHealthChecker(lineproto.NewHealthChecks(p.loop, opener, cfg.ReportFields, n))
 	}
-	return opt.MaxDownstreams, nil
+	return options.MaxDownstreams, nil
 }
 
 // findPredecessor requests a handover from the process that serves. If none hands over, it reads
@@ -166,7 +166,9 @@
 	cfg := p.cfg
 	list = knownList(cfg, handoff.Snapshot)
 	p.discovery = cluster.NewClient(p.loop, p.dialer, cluster.Options{Address: cfg.Discovery, ProxyCount: cfg.Settings.Instances, Revision: list.Version, Notify: p.listReceived})
-	newBalancer := func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(cfg.Settings, cfg.Seed, fx) }
+	newBalancer := func(effects balancer.Effects) (proxy.Balancer, error) {
+		return balancer.New(cfg.Settings, cfg.Seed, effects)
+	}
 	if err := p.core.Run(newBalancer, p.discovery, list); err != nil {
 		return list, err
 	}
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -93,8 +93,8 @@
 // ConnectionReceived resumes a connection that the old process has handed over.
 func (e partnerEvents) ConnectionReceived(s *proxy.HandedOverConnection) { e.front.Resume(s) }
 
-// DownstreamCount counts the old process's n downstreams against this one's limit, and its other
-// descriptors too: as downstreams, which use two descriptors each.
+// DownstreamCount counts the old process's n downstreams against this one's limit. Every two of the
+// old process's other descriptors count as one downstream, which uses two descriptors.
 func (e partnerEvents) DownstreamCount(n int) {
 	if e.isCurrent() && !e.restart.isOld {
 		e.core.SetOtherProcessDownstreams(n + e.cfg.HotRestartDescriptors()/2)
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -16,8 +16,8 @@
 	// is in progress. A new process must be ready within 6 s.
 	startRetryTime     = 5500 * time.Millisecond
 	startRetryInterval = 100 * time.Millisecond
-	// invalidAnswerRetryTime is how long a handover request is retried if it fails for another
-	// reason than ErrBusy.
+	// invalidAnswerRetryTime is how long a handover request is retried if it fails for a reason
+	// other than ErrBusy.
 	invalidAnswerRetryTime = 2 * time.Second
 	// maxStateReads is how many times a state file is read, at stateReadInterval, while the disk
 	// fails.
@@ -56,7 +56,7 @@
 }
 
 // requestHandover requests a handover from the process that serves, and retries while that process
-// cannot answer. Without a handover this process would listen on a socket of its own, and the
+// cannot answer. Without a handover this process would listen on a new socket, and the
 // clients in the old process's accept queue would be lost when that process ends.
 func requestHandover(cfg *platform.Config, dir string, now int64) (*hotrestart.Partner, *hotrestart.Handoff, error) {
 	type answer struct {
@@ -97,7 +97,7 @@
 func readState(dir string, now int64) (s *proxy.Snapshot, err error) {
 	for range maxStateReads {
 		s, err = hotrestart.ReadState(dir, now)
-		if system := new(fs.PathError); !errors.As(err, &system) {
+		if pathErr := new(fs.PathError); !errors.As(err, &pathErr) {
 			return s, err
 		}
 		time.Sleep(stateReadInterval)
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -41,9 +41,9 @@
 
 const (
 	serving      restartPhase = iota // this process accepts clients
-	awaitingList                     // the old one does; this one waits for its own list from discovery
-	takingOver                       // the old one does, until it answers this one's request to stop
-	handedOver                       // the new one does
+	awaitingList                     // the old process does; this one waits for its own list from discovery
+	takingOver                       // the old process does, until it answers this one's request to stop
+	handedOver                       // the new process does
 )
 
 // String returns the phase's name.
--- a/internal/app/node/signals.go
+++ b/internal/app/node/signals.go
@@ -20,7 +20,7 @@
 	return signals
 }
 
-// signalHandler handles signals on goroutines of its own. SIGHUP reloads the files; SIGTERM and
+// signalHandler handles signals on separate goroutines. SIGHUP reloads the files; SIGTERM and
 // SIGINT start the shutdown.
 type signalHandler struct {
 	cfg       *platform.Config
@@ -58,8 +58,8 @@
 	}
 }
 
-// reloadOnRequest reloads the files for each value in reloads until run ends. It has a goroutine of
-// its own, since neither the loop nor run may wait for a disk.
+// reloadOnRequest reloads the files for each value in reloads until run ends. It runs on a separate
+// goroutine, since neither the loop nor run may wait for a disk.
 func (h *signalHandler) reloadOnRequest(reloads <-chan struct{}) {
 	for range reloads {
 		h.reload()
--- a/internal/app/node/watermarks.go
+++ b/internal/app/node/watermarks.go
@@ -76,16 +76,18 @@
 // watermarkStates maps the states of hosts to the states in watermarks.
 var watermarkStates = map[balancer.HostState]watermark.State{balancer.Ready: watermark.Up, balancer.Draining: watermark.Draining, balancer.Removed: watermark.Gone}
 
-// ListUpdated passes a change of the own list to the watermark link. It returns the hosts for which
-// a watermark takes effect or ceases to.
-func (w coreWatermarks) ListUpdated(ch proxy.WatchEvent) []string {
-	all := make([]watermark.ListedHost, 0, len(ch.Hosts))
-	for _, e := range ch.Hosts {
-		all = append(all, watermark.ListedHost{Host: e.ID, StartedAt: e.StartedAt / 1e6, State: watermarkStates[e.State]})
+// ListUpdated passes a change of this process's list to the watermark link. It returns the hosts
+// for which a watermark takes effect or ceases to.
+func (w coreWatermarks) ListUpdated(event proxy.WatchEvent) []string {
+	listed := make([]watermark.ListedHost, 0, len(event.Hosts))
+	for _, host := range event.Hosts {
+		listed = append(listed, watermark.ListedHost{Host: host.ID, StartedAt: host.StartedAt / 1e6, State: watermarkStates[host.State]})
 	}
-	return w.ReceiveList(ch.Version, ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached, all)
+	return w.ReceiveList(event.Version, event.Kind == balancer.ListFull || event.Kind == balancer.ListCached, listed)
 }
 
-// Blocks reports whether other members' newer lists exclude the host id, which started at ns, in
-// Unix nanoseconds.
-func (w coreWatermarks) Blocks(id string, ns balancer.Time) bool { return w.Link.Blocks(id, ns/1e6) }
+// Blocks reports whether other members' newer lists exclude the host id. startedAt is when the host
+// started, in Unix nanoseconds.
+func (w coreWatermarks) Blocks(id string, startedAt balancer.Time) bool {
+	return w.Link.Blocks(id, startedAt/1e6)
+}
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -13,6 +13,7 @@
 	"croftlock/internal/dataplane/netio/netiotest"
 )
 
+// seeds holds valid and invalid requests for FuzzCall. TestCalls uses some of them.
 var seeds = []string{
 	"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n",
 	"POST /v1/catalogue-servers/s%2D1/suspend?why=x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc",
@@ -46,13 +47,13 @@
 	})
 }
 
-// fakeProxy knows the host a/b alone, and records the calls.
+// fakeProxy is a Proxy that knows only the host a/b. It records the calls of SetSuspended.
 type fakeProxy struct{ calls []string }
 
 func (p *fakeProxy) AcceptsClients() bool { return true }
 func (p *fakeProxy) Metrics() []byte      { return []byte("concurrent=0\n") }
-func (p *fakeProxy) SetSuspended(id string, out bool, done func(bool)) {
-	p.calls = append(p.calls, fmt.Sprint(id, out))
+func (p *fakeProxy) SetSuspended(id string, suspended bool, done func(bool)) {
+	p.calls = append(p.calls, fmt.Sprint(id, suspended))
 	done(id == "a/b")
 }
 
--- a/internal/operations/admin/caller.go
+++ b/internal/operations/admin/caller.go
@@ -85,27 +85,29 @@
 // serve answers a complete request.
 func (c *caller) serve(r *request) {
 	route := r.route()
-	head := r.method == http.MethodHead
+	omitBody := r.method == http.MethodHead
 	if allow := route.allowedMethods(); route != routeUnknown && !allow.includes(r.method) {
-		c.reply(response{status: http.StatusMethodNotAllowed, allow: allow, omitBody: head})
+		c.reply(response{status: http.StatusMethodNotAllowed, allow: allow, omitBody: omitBody})
 		return
 	}
 	switch route {
 	case routeReady:
 		if c.server.proxy.AcceptsClients() {
-			c.reply(response{status: http.StatusOK, body: []byte("ready\n"), omitBody: head})
+			c.reply(response{status: http.StatusOK, body: []byte("ready\n"), omitBody: omitBody})
 			return
 		}
-		c.reply(response{status: http.StatusServiceUnavailable, body: []byte("not ready\n"), omitBody: head})
+		c.reply(response{status: http.StatusServiceUnavailable, body: []byte("not ready\n"), omitBody: omitBody})
 	case routeMetrics:
-		c.reply(response{status: http.StatusOK, body: c.server.proxy.Metrics(), omitBody: head})
+		c.reply(response{status: http.StatusOK, body: c.server.proxy.Metrics(), omitBody: omitBody})
 	case routeSuspend, routeResume:
 		c.setSuspended(r.path[2], route == routeSuspend)
 	default:
-		c.reply(response{status: http.StatusNotFound, omitBody: head})
+		c.reply(response{status: http.StatusNotFound, omitBody: omitBody})
 	}
 }
 
+// setSuspended suspends or resumes a host, and replies once the change will outlive this process, or
+// at once with status 404 if no list has named the host.
 func (c *caller) setSuspended(host string, suspended bool) {
 	verb := "resume"
 	if suspended {
--- a/internal/operations/admin/request.go
+++ b/internal/operations/admin/request.go
@@ -96,6 +96,7 @@
 	return noFault
 }
 
+// parseRequestLine parses a request line without its line break.
 func parseRequestLine(line string) (*request, fault) {
 	method, rest, hasTarget := strings.Cut(line, " ")
 	target, version, hasVersion := strings.Cut(rest, " ")
@@ -116,6 +117,7 @@
 	return &request{method: method, path: path}, noFault
 }
 
+// isVersion reports whether s has the form of an HTTP version, such as HTTP/1.1.
 func isVersion(s string) bool {
 	isDigit := func(c byte) bool { return c >= '0' && c <= '9' }
 	return len(s) == versionBytes && strings.HasPrefix(s, "HTTP/") && isDigit(s[5]) && s[6] == '.' && isDigit(s[7])
@@ -153,6 +155,8 @@
 	hosts           int // number of Host headers
 }
 
+// parseHeaders parses the lines of a request's header fields. A request without a Host header is
+// invalid if hostRequired is true.
 func parseHeaders(lines []string, hostRequired bool) (h headers, f fault) {
 	h.contentLength = -1
 	for _, line := range lines {
@@ -171,6 +175,7 @@
 	return h, noFault
 }
 
+// add records a header field. name is in lower case. Fields that headers does not hold are ignored.
 func (h *headers) add(name, value string) fault {
 	switch name {
 	case "host":
--- a/internal/operations/admin/response.go
+++ b/internal/operations/admin/response.go
@@ -8,7 +8,7 @@
 // response is the answer to a call.
 type response struct {
 	status   int
-	allow    methods // the methods of the route, if the call has another one
+	allow    methods // value of the Allow header; nil if there is none
 	body     []byte  // if nil, the status text is sent
 	omitBody bool    // Content-Length counts the body, which is not sent
 }
--- a/internal/operations/admin/route.go
+++ b/internal/operations/admin/route.go
@@ -51,6 +51,7 @@
 	return nil
 }
 
+// includes reports whether m contains method.
 func (m methods) includes(method string) bool { return slices.Contains(m, method) }
 
 // String returns the value of an Allow header.
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -47,6 +47,8 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.addr }
 
+// accept returns the handler of a new connection. It evicts another caller if the server has no
+// place left.
 func (s *Server) accept(conn *netio.Conn) netio.Handler {
 	c := &caller{server: s, conn: conn}
 	conn.OnDescriptorFree(c.removeFromServer)
--- a/internal/operations/balancerconfig/decode.go
+++ b/internal/operations/balancerconfig/decode.go
@@ -11,14 +11,14 @@
 	"croftlock/internal/balancer"
 )
 
-// Values of settings, as the protocol has them.
+// Values of settings, as the protocol writes them.
 const (
 	priorityByWork     = "work"
 	passThrough        = "pass"
 	noLoadReports      = "none"
 	loadField          = "x0"
 	queueField         = "queue"
-	queueFieldOnWire   = "pending" // queueField as the simulator names it
+	queueFieldOnWire   = "pending" // the simulator's name for queueField
 	discoveryAutomatic = "automatic"
 	discoverySubscribe = "subscribe"
 )
--- a/internal/operations/certs/describe.go
+++ b/internal/operations/certs/describe.go
@@ -65,6 +65,7 @@
 	return b.String()
 }
 
+// names returns the DNS names, IP addresses and URIs of a certificate.
 func names(c *x509.Certificate) []string {
 	all := slices.Clone(c.DNSNames)
 	for _, ip := range c.IPAddresses {
@@ -76,6 +77,7 @@
 	return all
 }
 
+// validity returns whether a certificate is valid at the time now, and the time left if it is.
 func validity(c *x509.Certificate, now time.Time) string {
 	switch {
 	case now.Before(c.NotBefore):
@@ -86,6 +88,7 @@
 	return fmt.Sprintf("%s left", c.NotAfter.Sub(now).Round(time.Second))
 }
 
+// uses returns what a certificate may be used for: server, client and ca.
 func uses(c *x509.Certificate) (all []string) {
 	for _, u := range c.ExtKeyUsage {
 		switch u {
--- a/internal/operations/logging/nonblocking.go
+++ b/internal/operations/logging/nonblocking.go
@@ -47,8 +47,7 @@
 	return w.file.Write(line)
 }
 
-// writable reports whether a line can be written without waiting. Where the system can't say, it
-// can.
+// writable reports whether a line can be written without waiting. It returns true if poll fails.
 func (w *NonBlockingWriter) writable() bool {
 	fds := []unix.PollFd{{Fd: w.descriptor, Events: unix.POLLOUT}}
 	for {
--- a/internal/operations/logging/repeat.go
+++ b/internal/operations/logging/repeat.go
@@ -68,6 +68,7 @@
 	sweptAt      time.Time
 }
 
+// newRepeatLimiter returns a limiter with no counts.
 func newRepeatLimiter(maxPerWindow int, window time.Duration) *repeatLimiter {
 	return &repeatLimiter{maxPerWindow: maxPerWindow, window: window, kinds: map[string]*kindCount{}}
 }
@@ -86,8 +87,8 @@
 	return age >= window || age < 0
 }
 
-// allow reports whether a line may be written, and returns the kinds of which lines were left out
-// in a window that has ended.
+// allow reports whether a line of the kind key may be written. ended lists the kinds whose window
+// has ended and of which lines were left out.
 func (l *repeatLimiter) allow(key, event string, now time.Time) (write bool, ended []kindCount) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/operations/logging/text.go
+++ b/internal/operations/logging/text.go
@@ -69,6 +69,8 @@
 	return &next
 }
 
+// appendAttr appends an attribute as " key=value", with group before the key. It appends a group as
+// its members, and nothing for an attribute without a key.
 func appendAttr(b []byte, group string, a slog.Attr) []byte {
 	v := a.Value.Resolve()
 	if v.Kind() == slog.KindGroup {
@@ -98,6 +100,7 @@
 	return strconv.AppendQuote(b, s)
 }
 
+// needsQuotes reports whether a value that contains c must be quoted.
 func needsQuotes(c rune) bool {
 	return c == '"' || c == '=' || unicode.IsSpace(c) || !unicode.IsPrint(c)
 }
--- a/internal/operations/maintenance/registry.go
+++ b/internal/operations/maintenance/registry.go
@@ -1,5 +1,5 @@
 // Package maintenance records which upstream hosts the operators have suspended, and determines
-// when a resumed host counts as started. It has no I/O and no clock of its own. A suspension
+// when a resumed host counts as started. It does no I/O and reads no clock. A suspension
 // belongs to a host ID, lasts until a call ends it, and outlives the host's entry in the list.
 package maintenance
 
@@ -55,7 +55,7 @@
 // SetSuspended suspends a host at this proxy, or ends its suspension here, from the time now in
 // Unix nanoseconds. It reports whether that changed anything.
 func (r *Registry) SetSuspended(id string, suspended bool, now int64) (changed bool) {
-	if _, is := r.suspendedLocally[id]; is == suspended {
+	if _, wasSuspended := r.suspendedLocally[id]; wasSuspended == suspended {
 		return false
 	}
 	if suspended {
@@ -67,21 +67,22 @@
 	return true
 }
 
-// SetFleetSuspensions replaces the list of hosts that are suspended fleet-wide. It returns the IDs
-// of the hosts that are suspended or resumed by the change, sorted. A host is suspended while
-// either list has it: a call at this proxy does not end a fleet-wide suspension.
+// SetFleetSuspensions replaces the list of hosts that are suspended fleet-wide. now, in Unix
+// nanoseconds, is when new suspensions start. It returns the IDs of the hosts that are suspended or
+// resumed by the change, sorted. A host is suspended while either list has it: a call at this proxy
+// does not end a fleet-wide suspension.
 func (r *Registry) SetFleetSuspensions(ids []string, now int64) (changed []string) {
 	next := map[string]int64{}
 	for _, id := range ids {
-		since, was := r.suspendedFleetWide[id]
-		if !was {
+		since, wasSuspended := r.suspendedFleetWide[id]
+		if !wasSuspended {
 			since = now
 		}
 		next[id] = since
 	}
 	for id := range r.suspendedFleetWide {
-		_, still := next[id]
-		if _, here := r.suspendedLocally[id]; !still && !here {
+		_, remains := next[id]
+		if _, locally := r.suspendedLocally[id]; !remains && !locally {
 			changed = append(changed, id)
 		}
 	}
@@ -97,16 +98,16 @@
 
 // Suspended reports whether a host is suspended, at this proxy or fleet-wide.
 func (r *Registry) Suspended(id string) bool {
-	_, here := r.suspendedLocally[id]
-	_, fleet := r.suspendedFleetWide[id]
-	return here || fleet
+	_, locally := r.suspendedLocally[id]
+	_, fleetWide := r.suspendedFleetWide[id]
+	return locally || fleetWide
 }
 
 // Suspension returns a host's suspension, the earlier one if the host is suspended both at this
 // proxy and fleet-wide. Since is zero if the host is not suspended.
 func (r *Registry) Suspension(id string) Suspension {
-	since, here := r.suspendedLocally[id]
-	if at, fleet := r.suspendedFleetWide[id]; fleet && (!here || at < since) {
+	since, locally := r.suspendedLocally[id]
+	if at, fleetWide := r.suspendedFleetWide[id]; fleetWide && (!locally || at < since) {
 		since = at
 	}
 	return Suspension{id, since}
--- a/internal/operations/metrics/metrics.go
+++ b/internal/operations/metrics/metrics.go
@@ -52,8 +52,8 @@
 	return &Table{classes: classes, endCounts: make([][counterKinds]int64, len(classes))}
 }
 
-// CountEnd counts the end of a request. class is an index into the classes given to New; another
-// value counts nothing.
+// CountEnd counts the end of a request. class is an index into the classes passed to New. An end
+// with any other class is not counted.
 func (t *Table) CountEnd(class int, e End) {
 	if c := counterOf[e]; c != uncounted && class >= 0 && class < len(t.endCounts) {
 		t.endCounts[class][c]++
--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -125,15 +125,17 @@
 // applyEnvironment overrides fields by the environment variables that are set.
 func (c *Config) applyEnvironment(env func(string) string) {
 	for _, v := range []struct {
-		to   *string
-		name string
+		target *string
+		name   string
 	}{{&c.Name, "NODE_NAME"}, {&c.Listen, "NODE_LISTEN"}, {&c.Discovery, "NODE_DISCOVERY"}, {&c.Admin, "NODE_ADMIN_ADDR"}} {
 		if s := env(v.name); s != "" {
-			*v.to = s
+			*v.target = s
 		}
 	}
 }
 
+// checkAddresses returns an error for an invalid address, or an admin address that equals the
+// clients'.
 func (c *Config) checkAddresses() error {
 	for _, v := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(v.addr); err != nil {
@@ -151,8 +153,8 @@
 	return nil
 }
 
-// isIPPort reports whether addr is an IP address, or an empty one for all addresses, with a port
-// from 1.
+// isIPPort reports whether addr is an IP address with a port other than 0. An empty IP address, which
+// stands for all addresses, is valid.
 func isIPPort(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || host != "" && net.ParseIP(host) == nil {
@@ -162,6 +164,7 @@
 	return err == nil && n != 0
 }
 
+// parseSettings parses the platform's settings object.
 func (c *Config) parseSettings(data json.RawMessage) (err error) {
 	if len(data) == 0 {
 		return ErrNoSettings
--- a/internal/operations/platform/limits.go
+++ b/internal/operations/platform/limits.go
@@ -1,6 +1,6 @@
 package platform
 
-// Defaults for platforms without limits.
+// Defaults that apply if the platform sets no limit: numbers of connections, and bytes of memory.
 const (
 	defaultDials        = 32
 	defaultIdleClients  = 1024
--- a/internal/operations/settings/fieldset.go
+++ b/internal/operations/settings/fieldset.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// FieldSet reads the fields of a section, or of a list of fields in one. Each field is declared by
-// the method for its type, with a pointer to the variable that receives its value; the variable's
-// previous value is the default. Fields of the file that are not declared are faults.
+// FieldSet reads the fields of a section, or of a list of fields inside a section. Each field is
+// declared by the method for its type, with a pointer to the variable that receives its value; the
+// variable's previous value is the default. Fields of the file that are not declared are faults.
 type FieldSet struct {
 	node        *Node // nil if the file does not have the section
 	faults      *Faults
 	dir         string // folder that relative paths start from
-	path        string // names from the section down, with blanks between
+	path        string // names from the section to this list, separated by blanks
 	fields      []*Field
 	nodesByName map[string][]*Node // the file's nodes by field name
 }
@@ -24,7 +24,7 @@
 	value    func() string
 }
 
-// Value returns the field's value as a settings file has it, or "" for a list of fields.
+// Value returns the field's value in the syntax of a settings file, or "" for a list of fields.
 func (f *Field) Value() string { return f.value() }
 
 // Fields returns the declared fields in the order of their declaration.
@@ -47,6 +47,8 @@
 	f.faults.Add(at, format, args...)
 }
 
+// newFieldSet returns a field set for node, which is nil if the file does not have the list. Items
+// of node that are not lists with a name are faults.
 func newFieldSet(node *Node, faults *Faults, dir, path string) *FieldSet {
 	f := &FieldSet{node: node, faults: faults, dir: dir, path: path, nodesByName: map[string][]*Node{}}
 	if node == nil {
@@ -127,6 +129,8 @@
 	}
 }
 
+// bindNested binds the fields of the list n inside f, and reports fields that bind does not
+// declare. n is nil if the file does not have the list.
 func (f *FieldSet) bindNested(n *Node, name string, bind func(f *FieldSet)) *FieldSet {
 	nested := newFieldSet(n, f.faults, f.dir, f.path+" "+name)
 	bind(nested)
--- a/internal/operations/settings/node.go
+++ b/internal/operations/settings/node.go
@@ -8,7 +8,7 @@
 // Bounds of a file. Files written by hand are far below them; a larger file is reported as a fault.
 const (
 	MaxBytes = 1 << 20
-	MaxDepth = 32 // of lists in lists
+	MaxDepth = 32 // of nested lists
 )
 
 // Pos is a position in a file. Lines and columns count from 1; columns count characters.
@@ -83,6 +83,7 @@
 
 const maxQuotedRunes = 40 // quoted from the file in a fault
 
+// truncate shortens s to maxQuotedRunes characters followed by "..." if it is longer.
 func truncate(s string) string {
 	if r := []rune(s); len(r) > maxQuotedRunes {
 		return string(r[:maxQuotedRunes]) + "..."
--- a/internal/operations/settings/parse.go
+++ b/internal/operations/settings/parse.go
@@ -61,6 +61,8 @@
 	return c
 }
 
+// next returns the next character and advances the position. It must not be called at the end of
+// the input.
 func (p *parser) next() rune {
 	c, n := utf8.DecodeRuneInString(p.rest)
 	p.rest = p.rest[n:]
@@ -72,6 +74,7 @@
 	return c
 }
 
+// skipSpace advances to the next character that is not white space.
 func (p *parser) skipSpace() {
 	for p.rest != "" && unicode.IsSpace(p.peek()) {
 		p.next()
@@ -136,6 +139,7 @@
 	return true
 }
 
+// parseComment parses a comment up to the end of its line, without trailing white space.
 func (p *parser) parseComment(n *Node) {
 	end := strings.IndexByte(p.rest, '\n')
 	if end < 0 {
@@ -147,6 +151,7 @@
 	}
 }
 
+// parseAtom parses an atom up to a character that ends it.
 func (p *parser) parseAtom(n *Node) {
 	var b strings.Builder
 	for p.rest != "" && !endsAtom(p.peek()) {
@@ -159,6 +164,7 @@
 	n.Kind, n.Text = Atom, b.String()
 }
 
+// endsAtom reports whether c is not part of an atom.
 func endsAtom(c rune) bool { return unicode.IsSpace(c) || strings.ContainsRune(`();"`, c) }
 
 // parseText parses a quoted text.
--- a/internal/operations/settings/paths.go
+++ b/internal/operations/settings/paths.go
@@ -17,6 +17,8 @@
 	f.declareList(name, doc, "one or more paths", target, func(s string) (string, bool) { return f.resolve(s), s != "" })
 }
 
+// resolve joins a relative path to the settings file's folder. It returns an absolute or empty path
+// unchanged.
 func (f *FieldSet) resolve(s string) string {
 	if s == "" || filepath.IsAbs(s) {
 		return s
--- a/internal/operations/settings/print.go
+++ b/internal/operations/settings/print.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// maxLineBytes is the length up to which a list is printed on one line.
+// maxLineBytes is the length, with the indentation, up to which a list is printed on one line.
 const maxLineBytes = 100
 
 // Print returns a file in its canonical format: each list that fits is on one line, each level is
@@ -14,7 +14,8 @@
 	return []byte(b.String())
 }
 
-// printItems writes each item on a line of its own.
+// printItems writes each item on a separate line, and a comment that followed an item on its line
+// after that item.
 func printItems(b *strings.Builder, items []*Node, indent int) {
 	for i, n := range items {
 		if n.Kind == Comment && n.sameLine && i > 0 {
@@ -32,6 +33,8 @@
 	}
 }
 
+// printNode writes a node that starts at the given indentation, on several lines if it is a list
+// that does not fit on one line or contains a comment.
 func printNode(b *strings.Builder, n *Node, indent int) {
 	if flat, ok := flatten(n); ok && (n.Kind != List || indent+len(flat) <= maxLineBytes) {
 		b.WriteString(flat)
@@ -81,7 +84,7 @@
 	return "(" + strings.Join(parts, " ") + ")", true
 }
 
-// Quote returns a text with quotes and escapes, as a settings file has it.
+// Quote returns a text in the syntax of a settings file, with quotes and escapes.
 func Quote(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\t", `\t`, "\r", `\r`).Replace(s) + `"`
 }
--- a/internal/operations/settings/schema.go
+++ b/internal/operations/settings/schema.go
@@ -90,7 +90,8 @@
 	return found
 }
 
-// Show writes every section with the value of each field as a settings file, and marks defaults.
+// Show writes every section with the value of each field in the syntax of a settings file. It marks
+// defaults.
 func (s Schema) Show(w io.Writer, f *File) {
 	for i, section := range s {
 		if i > 0 {
@@ -102,6 +103,8 @@
 	}
 }
 
+// showFields writes the fields of a section or nested list, indented by two blanks per level of
+// depth.
 func showFields(w io.Writer, fields *FieldSet, depth int) {
 	indent := strings.Repeat("  ", depth)
 	for _, d := range fields.Fields() {
--- a/internal/operations/settings/settings_test.go
+++ b/internal/operations/settings/settings_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// sample holds the values of the section that schema declares.
 type sample struct {
 	on    bool
 	n     int
@@ -21,6 +22,7 @@
 	teams []string
 }
 
+// schema has one section with a field of almost every type.
 var schema = Schema{{Name: "sample", Doc: "a sample", Bind: func(f *FieldSet) any {
 	s := &sample{n: 7, d: time.Second, kind: "red"}
 	f.Bool("servers", "whether", &s.on)
@@ -115,6 +117,7 @@
 	}
 }
 
+// commented is a settings file with comments, in the format of Print.
 const commented = `; head
 
 (tls  ; why
@@ -168,6 +171,7 @@
 	})
 }
 
+// equalNodes reports whether two trees are equal apart from positions and blank lines.
 func equalNodes(a, b *Node) bool {
 	if a.Kind != b.Kind || a.Text != b.Text || len(a.Items) != len(b.Items) {
 		return false
--- a/internal/operations/settings/units.go
+++ b/internal/operations/settings/units.go
@@ -36,6 +36,8 @@
 
 const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 
+// parseUnit parses a decimal number that is followed by the name of one of units, and rounds it to
+// an integer. It returns false if s is invalid or too large.
 func parseUnit[T int64 | time.Duration](s string, units []unit[T]) (T, bool) {
 	digits := strings.TrimRight(s, letters)
 	for _, u := range units {
@@ -54,6 +56,7 @@
 	return 0, false
 }
 
+// formatUnit returns x in the largest unit of which it is a multiple. Zero has the smallest unit.
 func formatUnit[T int64 | time.Duration](x T, units []unit[T]) string {
 	for _, u := range units {
 		if x != 0 && x%u.size == 0 {
@@ -73,4 +76,5 @@
 	return x, err == nil
 }
 
+// formatPercent returns a fraction as a percentage: 0.3 becomes 30%.
 func formatPercent(x float64) string { return strconv.FormatFloat(x*100, 'f', -1, 64) + "%" }
