--- a/internal/app/command/certs.go
+++ b/internal/app/command/certs.go
@@ -27,8 +27,7 @@
 type newCertificate struct {
 	certPath, keyPath string // output files
 	passwordFile      string // path; if empty, the key is not encrypted
-	kind              string // one of certs.KeyKinds
-	lifetime          string // with its unit, such as "90d"
+	kind, lifetime    string // one of certs.KeyKinds; a time with its unit, such as 90d
 	force             bool   // replace existing files
 }
 
--- a/internal/app/command/hotrestart_test.go
+++ b/internal/app/command/hotrestart_test.go
@@ -40,8 +40,8 @@
 	return p, setup.Admin, err
 }
 
-// startReady starts a process and waits until it is ready. It returns the address of its admin
-// interface, too.
+// startReady starts a process and waits until it is ready. It also returns the address of its admin
+// interface.
 func (h *hotRestartTest) startReady() (*experiment.Process, string) {
 	h.Helper()
 	p, admin, err := h.start()
--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -17,7 +17,7 @@
 
 // rulesCommand returns the group of commands for the rules on which all proxies agree.
 func (f *fleetClient) rulesCommand() *cobra.Command {
-	group := &cobra.Command{Use: "rules", Short: "Rules on which group proxies agree"}
+	group := &cobra.Command{Use: "rules", Short: "Rules on which all proxies agree"}
 	group.AddCommand(f.putCommand(), f.dropCommand(), f.rollbackCommand(), f.diffCommand(), f.explainCommand(), checkRulesCommand(), keyCommand(),
 		f.historyCommand(), f.rulesStatusCommand(), f.showCommand())
 	return group
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -166,9 +166,7 @@
 	cfg := p.cfg
 	list = knownList(cfg, handoff.Snapshot)
 	p.discovery = cluster.NewClient(p.loop, p.dialer, cluster.Options{Address: cfg.Discovery, ProxyCount: cfg.Settings.Instances, Revision: list.Version, Notify: p.listReceived})
-	newBalancer := func(effects balancer.Effects) (proxy.Balancer, error) {
-		return balancer.New(cfg.Settings, cfg.Seed, effects)
-	}
+	newBalancer := func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(cfg.Settings, cfg.Seed, fx) }
 	if err := p.core.Run(newBalancer, p.discovery, list); err != nil {
 		return list, err
 	}
--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -28,7 +28,7 @@
 	core := proxy.New(loop, nil, proxy.Options{MaxDownstreams: 1, Settings: settings})
 	p := &process{loop: loop, core: core, discovery: cluster.NewClient(loop, nil, cluster.Options{Address: ownDiscovery, ProxyCount: 1, Revision: 7})}
 	list := proxy.WatchEvent{Kind: balancer.ListCached, Version: 7, Hosts: []proxy.HostEntry{listedHost("a", balancer.Ready), listedHost("b", balancer.Ready)}}
-	newBalancer := func(effects balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, effects) }
+	newBalancer := func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }
 	if err := core.Run(newBalancer, p.discovery, list); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/node/watermarks.go
+++ b/internal/app/node/watermarks.go
@@ -86,8 +86,6 @@
 	return w.ReceiveList(event.Version, event.Kind == balancer.ListFull || event.Kind == balancer.ListCached, listed)
 }
 
-// Blocks reports whether other members' newer lists exclude the host id. startedAt is when the host
+// Blocks reports whether other members' newer lists exclude the host id. ns is when the host
 // started, in Unix nanoseconds.
-func (w coreWatermarks) Blocks(id string, startedAt balancer.Time) bool {
-	return w.Link.Blocks(id, startedAt/1e6)
-}
+func (w coreWatermarks) Blocks(id string, ns balancer.Time) bool { return w.Link.Blocks(id, ns/1e6) }
--- a/internal/operations/admin/caller.go
+++ b/internal/operations/admin/caller.go
@@ -85,24 +85,24 @@
 // serve answers a complete request.
 func (c *caller) serve(r *request) {
 	route := r.route()
-	omitBody := r.method == http.MethodHead
+	isHead := r.method == http.MethodHead
 	if allow := route.allowedMethods(); route != routeUnknown && !allow.includes(r.method) {
-		c.reply(response{status: http.StatusMethodNotAllowed, allow: allow, omitBody: omitBody})
+		c.reply(response{status: http.StatusMethodNotAllowed, allow: allow, omitBody: isHead})
 		return
 	}
 	switch route {
 	case routeReady:
 		if c.server.proxy.AcceptsClients() {
-			c.reply(response{status: http.StatusOK, body: []byte("ready\n"), omitBody: omitBody})
+			c.reply(response{status: http.StatusOK, body: []byte("ready\n"), omitBody: isHead})
 			return
 		}
-		c.reply(response{status: http.StatusServiceUnavailable, body: []byte("not ready\n"), omitBody: omitBody})
+		c.reply(response{status: http.StatusServiceUnavailable, body: []byte("not ready\n"), omitBody: isHead})
 	case routeMetrics:
-		c.reply(response{status: http.StatusOK, body: c.server.proxy.Metrics(), omitBody: omitBody})
+		c.reply(response{status: http.StatusOK, body: c.server.proxy.Metrics(), omitBody: isHead})
 	case routeSuspend, routeResume:
 		c.setSuspended(r.path[2], route == routeSuspend)
 	default:
-		c.reply(response{status: http.StatusNotFound, omitBody: omitBody})
+		c.reply(response{status: http.StatusNotFound, omitBody: isHead})
 	}
 }
 
