--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// Window is what all proxies did in one stretch of time.
+// Window holds the counts of all proxies in one time window.
 type Window struct {
-	From            time.Duration  // since the first event
-	Requests        int            // requests that came
-	Returned        int            // of them, from clients that came again
-	Attempts        int            // attempts that the decision module placed
-	Established     int            // connections that were established
-	Rejected        int            // requests
-	Failed          map[string]int // attempts that were not established, by status
-	Broken          int            // established connections that broke
-	Open            int            // established connections at its end
-	Placements      int            // at its end, pairs of host and group
+	From            time.Duration  // start of the window, since the first event
+	Requests        int            // requests received
+	Returned        int            // requests whose client opens a connection again, or that are retries
+	Attempts        int            // attempts started by the decision module
+	Established     int            // connections established
+	Rejected        int            // requests rejected
+	Failed          map[string]int // attempts that ended before they were established, by status
+	Broken          int            // established connections that were reset
+	Open            int            // established connections at the window's end
+	Placements      int            // pairs of host and group with a connection at the window's end
 	ProcessStarts   int            // processes that became ready
-	DiscoveryFailed int
-	HostUpdates     int // hosts that changed in some proxy's list
+	DiscoveryFailed int            // failed discovery calls
+	HostUpdates     int            // changes of hosts in the proxies' lists, counted for each proxy
 }
 
-// Host is what all proxies together did with one host.
+// Host holds the counts of all proxies for one host.
 type Host struct {
 	Name, Zone     string
 	Weight         float64
-	StartedAt      time.Time // its latest start; zero: long ago
-	Attempts       int       // attempts
-	WarmUpAttempts int       // attempts within the warm-up that the caller states
-	WarmUpPeak     int       // most of those in any stretch of the length that the caller states
-	Open           int       // established connections at the end
-	MaxDelayMS     float64   // longest message delay reported, milliseconds
+	StartedAt      time.Time // latest start; zero if it was long ago or not logged
+	Attempts       int       // attempts started
+	WarmUpAttempts int       // attempts started within Count's warmUp after StartedAt
+	WarmUpPeak     int       // most of WarmUpAttempts within any period of Count's peakWindow
+	Open           int       // established connections at the end of the log
+	MaxDelayMS     float64   // longest message delay reported, in milliseconds
 }
 
-// Fleet is the counts of all proxies.
+// Fleet holds the counts of all proxies over a log.
 type Fleet struct {
-	Start    time.Time
+	Start    time.Time // time of the first event
 	Windows  []*Window
-	Hosts    []*Host // by name
+	Hosts    []*Host // sorted by name
 	Requests int
 	Attempts int
 }
 
-// placement is the host of an established placement, and its group.
+// placement is the host of an established connection and the group of its client.
 type placement struct{ host, group string }
 
-// counter goes through the events of all proxies.
+// counter counts the events of all proxies in order of time.
 type counter struct {
 	fleet          *Fleet
 	window         *Window
@@ -56,12 +56,13 @@
 	hosts          map[string]*Host
 	warmUpAttempts map[string][]time.Time          // by host
 	established    map[string]map[string]placement // by proxy and request
-	groups         map[string]string               // of each request that came
+	groups         map[string]string               // group by request, for the requests received
 	peakWindow     time.Duration
 }
 
-// Count goes through a log in windows of the given length. A host is cold for warmUp after its start, and its peak is the most attempts in
-// any stretch of peakOver.
+// Count counts a log's events in windows of length window. A host is warming up for warmUp after its
+// start, and its WarmUpPeak is the most attempts within any period of peakWindow. The log must have
+// an event.
 func Count(l *Log, window, warmUp, peakWindow time.Duration) *Fleet {
 	c := &counter{fleet: &Fleet{Start: l.Events[0].Time}, windowLength: window, warmUpPeriod: warmUp, peakWindow: peakWindow, hosts: map[string]*Host{},
 		warmUpAttempts: map[string][]time.Time{}, established: map[string]map[string]placement{}, groups: map[string]string{}}
@@ -74,6 +75,7 @@
 	return c.fleet
 }
 
+// host returns the counts of a host, and adds the host if it is new.
 func (c *counter) host(name string) *Host {
 	h := c.hosts[name]
 	if h == nil {
@@ -83,7 +85,7 @@
 	return h
 }
 
-// advanceWindow begins the windows up to that of a time.
+// advanceWindow closes windows and opens new ones until the current window contains to.
 func (c *counter) advanceWindow(to time.Time) {
 	passed := to.Sub(c.fleet.Start)
 	for c.window == nil || passed >= c.window.From+c.windowLength {
@@ -97,19 +99,19 @@
 	}
 }
 
-// closeWindow counts what is established at the window's end.
+// closeWindow sets the counts of the connections that are established at the window's end.
 func (c *counter) closeWindow() {
-	places := map[placement]bool{}
-	for _, ofProxy := range c.established {
-		for _, at := range ofProxy {
+	placements := map[placement]bool{}
+	for _, requests := range c.established {
+		for _, placed := range requests {
 			c.window.Open++
-			places[at] = true
+			placements[placed] = true
 		}
 	}
-	c.window.Placements = len(places)
+	c.window.Placements = len(placements)
 }
 
-// countEvent counts one event.
+// countEvent adds one event to the counts of its window and host.
 func (c *counter) countEvent(e Event) {
 	switch e.Name {
 	case "ready":
@@ -148,7 +150,7 @@
 
 func (c *counter) attemptStarted(e Event) {
 	if _, placed := c.groups[e.Fields["request"]]; !placed {
-		return // restored at its host from before the start, which is no placement
+		return // a connection restored at its host after a start: the decision module did not place it
 	}
 	c.window.Attempts++
 	c.fleet.Attempts++
@@ -188,11 +190,11 @@
 	}
 }
 
-// finishHosts takes in what is established at the end, and the peaks.
+// finishHosts adds the connections open at the end and the peaks, and sorts the hosts.
 func (c *counter) finishHosts() {
-	for _, ofProxy := range c.established {
-		for _, at := range ofProxy {
-			c.host(at.host).Open++
+	for _, requests := range c.established {
+		for _, placed := range requests {
+			c.host(placed.host).Open++
 		}
 	}
 	for name, h := range c.hosts {
@@ -202,7 +204,8 @@
 	sort.Slice(c.fleet.Hosts, func(i, j int) bool { return c.fleet.Hosts[i].Name < c.fleet.Hosts[j].Name })
 }
 
-// maxWithin is the most of some times, in order, within any stretch of the given length.
+// maxWithin returns the largest number of times that lie within any period of the given length. The
+// times must be sorted.
 func maxWithin(times []time.Time, within time.Duration) (most int) {
 	for i, from := range times {
 		n := 0
@@ -216,7 +219,8 @@
 	return most
 }
 
-// reportedDelay is the message delay that an event reports, in milliseconds; false: it reports something else.
+// reportedDelay returns the message delay in milliseconds that a load report contains. It returns false
+// if the report is of another kind.
 func reportedDelay(e Event) (ms float64, ok bool) {
 	ms, err := strconv.ParseFloat(e.Fields["value"], 64)
 	return ms, err == nil && e.Fields["delay"] == "true"
--- a/internal/testbed/fleetlog/eventnames.go
+++ b/internal/testbed/fleetlog/eventnames.go
@@ -1,6 +1,7 @@
 package fleetlog
 
-// earlierEventNames are the log events that had another name in earlier versions, whose logs are read as well.
+// earlierEventNames maps the names of log events in earlier versions to the current ones, so that logs
+// of earlier versions can be read.
 var earlierEventNames = map[string]string{
 	"asked":              "request_received",
 	"attempt":            "attempt_started",
@@ -75,7 +76,7 @@
 	"peer_message":       "peer_message_invalid",
 }
 
-// currentEventName is the name that an event has now.
+// currentEventName returns the current name of an event of any version.
 func currentEventName(event string) string {
 	if name, renamed := earlierEventNames[event]; renamed {
 		return name
--- a/internal/testbed/fleetlog/fieldnames.go
+++ b/internal/testbed/fleetlog/fieldnames.go
@@ -1,7 +1,8 @@
 package fleetlog
 
-// earlierFields are the fields that had another name in earlier versions, by the present name of their event. A field whose earlier
-// name means something else now is read as the earlier one where its line has marker, which only lines of that style have.
+// earlierFields maps, by the current name of the event, the names of fields in earlier versions to the
+// current ones. Some earlier names mean something else now, so names are mapped only in a line that has
+// the field marker, which only lines of the earlier version have.
 var earlierFields = map[string]struct {
 	marker string
 	names  map[string]string
@@ -37,10 +38,10 @@
 	"hot_restart_taken_back":  {"sessions", map[string]string{"sessions": "downstreams"}},
 }
 
-// earlierHostStates are the states of a host as earlier versions logged them.
+// earlierHostStates maps the host states that earlier versions logged to the current ones.
 var earlierHostStates = map[string]string{"0": "ready", "1": "draining", "2": "removed", "3": "suspended"}
 
-// currentFields gives an event's fields the names and values that they have now.
+// currentFields returns an event's fields with their current names and values. It may change fields.
 func currentFields(event string, fields map[string]string) map[string]string {
 	if event == "host_updated" {
 		if state, earlier := earlierHostStates[fields["state"]]; earlier {
--- a/internal/testbed/fleetlog/fieldnames_test.go
+++ b/internal/testbed/fleetlog/fieldnames_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestEarlierFieldNames: a line of an earlier version reads as the same line of this one.
+// TestEarlierFieldNames checks that a line of an earlier version is read like the same line of this one.
 func TestEarlierFieldNames(t *testing.T) {
 	for _, c := range []struct{ what, earlier, current string }{
 		{"counts",
@@ -37,15 +37,16 @@
 		earlier, ok := parse(at + c.earlier)
 		current, ok2 := parse(at + c.current)
 		if !ok || !ok2 || earlier.Name != current.Name || !maps.Equal(earlier.Fields, current.Fields) {
-			t.Errorf("%s: the earlier line is read as %+v, this version's as %+v", c.what, earlier, current)
+			t.Errorf("%s: parse(%q) = %+v, %t; parse(%q) = %+v, %t; want equal events", c.what, c.earlier, earlier, ok, c.current, current, ok2)
 		}
 	}
 }
 
-// TestCurrentFieldNames: what a line of this version says is not taken for the earlier field of the same name.
+// TestCurrentFieldNames guards against reading a field of this version as the earlier field of the same
+// name.
 func TestCurrentFieldNames(t *testing.T) {
 	e, ok := parse("2026/01/02 03:04:05.000006 event=counts rejected=6 invalid_requests=8")
 	if want := map[string]string{"rejected": "6", "invalid_requests": "8"}; !ok || !maps.Equal(e.Fields, want) {
-		t.Errorf("read as %v, want %v", e.Fields, want)
+		t.Errorf("fields of a current counts line = %v (parsed: %t), want %v", e.Fields, ok, want)
 	}
 }
--- a/internal/testbed/fleetlog/fleetlog.go
+++ b/internal/testbed/fleetlog/fleetlog.go
@@ -1,5 +1,6 @@
-// Package fleetlog counts over the logs of many proxies on one time axis: what is harmless in one proxy and harmful when all do it shows in no
-// single log. It owns the reading of croftlock's log lines, also of earlier versions, and the counts. Most events are at level debug.
+// Package fleetlog reads the logs of many proxies, of this and earlier versions, and counts their events
+// on one time axis. The counts show behavior that is harmless in one proxy but harmful if all proxies
+// do it, which no single log shows. Most of the events are logged at level debug.
 package fleetlog
 
 import (
@@ -15,25 +16,27 @@
 	"time"
 )
 
-// Event is one line of one proxy's log.
+// Event is one line of a proxy's log, with its current event and field names.
 type Event struct {
 	Time   time.Time
-	Proxy  string
+	Proxy  string // name of the log file without .log
 	Name   string
 	Fields map[string]string
 }
 
-// maxLineBytes is the longest line that is read, in bytes; a longer one is not of croftlock's log.
+// maxLineBytes is the length of the longest line that is parsed. A longer line is not a croftlock log
+// line.
 const maxLineBytes = 64 << 10
 
-// Log is what was read of a folder.
+// Log holds the events of all logs in a directory.
 type Log struct {
-	Events  []Event // in order of time
-	Proxies int
-	Skipped int // lines that are torn, or not of our log
+	Events  []Event // sorted by time
+	Proxies int     // number of logs
+	Skipped int     // number of lines that are incomplete or not croftlock log lines
 }
 
-// ReadDir reads each *.log of a folder as one proxy's log.
+// ReadDir reads each *.log file in a directory as the log of one proxy. It returns an error if there is
+// no such file or none of them has an event.
 func ReadDir(dir string) (*Log, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
@@ -43,7 +46,7 @@
 		if _, err := os.Stat(dir); err != nil {
 			return nil, err
 		}
-		return nil, fmt.Errorf("%s: no *.log in it", dir)
+		return nil, fmt.Errorf("%s: directory contains no *.log file", dir)
 	}
 	sort.Strings(names)
 	l := &Log{Proxies: len(names)}
@@ -59,12 +62,13 @@
 		}
 	}
 	if len(l.Events) == 0 {
-		return nil, fmt.Errorf("%s: none of %d lines is of croftlock's log", dir, l.Skipped)
+		return nil, fmt.Errorf("%s: none of %d lines is a croftlock log line", dir, l.Skipped)
 	}
 	sort.SliceStable(l.Events, func(i, j int) bool { return l.Events[i].Time.Before(l.Events[j].Time) })
 	return l, nil
 }
 
+// readProxy adds the events of one proxy's log, and counts the lines that it skips.
 func (l *Log) readProxy(from io.Reader, proxy string) error {
 	r := bufio.NewReaderSize(from, maxLineBytes)
 	for {
@@ -76,7 +80,7 @@
 		if err != nil && err != io.EOF {
 			return err
 		}
-		// A last line without its end was cut off with its proxy, and a number in it may be incomplete.
+		// A last line without a newline was cut off when its proxy ended, so a number in it may be incomplete.
 		if !complete {
 			if len(line) > 0 {
 				l.Skipped++
@@ -93,19 +97,20 @@
 	}
 }
 
-// parse reads a line: date, time, event=NAME, key=value... Another program may have written something before the date.
+// parse parses a line: date, time, event=NAME, key=value... It ignores text before the date, which
+// another program may have written. It reports whether the line is a croftlock log line.
 func parse(line string) (Event, bool) {
-	at := strings.Index(line, " event=")
+	eventStart := strings.Index(line, " event=")
 	const timeFormat = "2006/01/02 15:04:05.000000"
-	if at < len(timeFormat) {
+	if eventStart < len(timeFormat) {
 		return Event{}, false
 	}
-	timestamp, err := time.Parse(timeFormat, line[at-len(timeFormat):at])
+	timestamp, err := time.Parse(timeFormat, line[eventStart-len(timeFormat):eventStart])
 	if err != nil {
 		return Event{}, false
 	}
 	e := Event{Time: timestamp, Fields: map[string]string{}}
-	for rest := strings.TrimSpace(line[at+1:]); rest != ""; {
+	for rest := strings.TrimSpace(line[eventStart+1:]); rest != ""; {
 		key, value, found := strings.Cut(rest, "=")
 		if !found || key == "" || strings.ContainsAny(key, " \"") {
 			return Event{}, false
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/operations/logging"
 )
 
-// writeLog makes a log with the program's own handler, and tail behind it.
+// writeLog writes a log with croftlock's own log handler and appends tail.
 func writeLog(t *testing.T, dir, name string, events func(logEvent func(event string, kv ...any)), tail string) {
 	t.Helper()
 	var b bytes.Buffer
@@ -44,7 +44,8 @@
 			logEvent("refused", "request", "other")
 		}, "0.1 2026/12/01 10:00:00.000000 event=attempt_started request=torn host=s")
 	}
-	// Lines of another program, malformed ones and one that is too long are skipped; something before the date is not.
+	// Lines of another program, malformed lines and a line that is too long are skipped. A line with text
+	// before the date is read.
 	otherLines := "another program's line\n2026/12/01 10:00 event=request_received\nx event=y\n" +
 		time.Now().UTC().Format("12.5 2006/01/02 15:04:05.000000") + " event=request_rejected request=\"a b\" after_ms=3\n" +
 		time.Now().UTC().Format("2006/01/02 15:04:05.000000") + " event=attempt_started host=\"torn\n" +
@@ -57,30 +58,31 @@
 		t.Fatal(err)
 	}
 	if l.Proxies != 3 || l.Skipped != 2+5 {
-		t.Errorf("%d proxies, %d lines skipped", l.Proxies, l.Skipped)
+		t.Errorf("%d proxies, %d lines skipped; want 3 and 7", l.Proxies, l.Skipped)
 	}
 	f := Count(l, time.Hour, 23*time.Second, 2*time.Second)
 	if len(f.Windows) != 1 {
-		t.Fatalf("%d windows", len(f.Windows))
+		t.Fatalf("%d windows, want 1", len(f.Windows))
 	}
 	w := f.Windows[0]
 	if w.Requests != 2 || w.Returned != 1 || w.Attempts != 4 || w.Established != 2 || w.Rejected != 3 || w.Failed["connect_failed"] != 2 ||
 		w.Open != 2 || w.Placements != 1 || w.ProcessStarts != 2 || w.HostUpdates != 2 {
-		t.Errorf("%+v", w)
+		t.Errorf("window of both proxies = %+v", w)
 	}
 	if len(f.Hosts) != 2 {
-		t.Fatalf("%d hosts", len(f.Hosts))
+		t.Fatalf("%d hosts, want 2", len(f.Hosts))
 	}
 	if h := f.Hosts[1]; h.Name != "s1" || h.Zone != "zone a" || h.Attempts != 2 || h.WarmUpAttempts != 2 || h.WarmUpPeak != 2 || h.Open != 2 ||
 		h.MaxDelayMS != 250.5 || h.Weight != 1.5 {
-		t.Errorf("%+v", h)
+		t.Errorf("host s1 = %+v", h)
 	}
 	if h := f.Hosts[0]; h.WarmUpAttempts != 0 || h.Attempts != 2 {
-		t.Errorf("%+v", h)
+		t.Errorf("host s0 = %+v", h)
 	}
 }
 
-// TestRestartedProxyHasNoConnections: a process that becomes ready has no connections, whatever the one before it had.
+// TestRestartedProxyHasNoConnections guards against counting the connections of an earlier process of a
+// proxy as open after the next process is ready.
 func TestRestartedProxyHasNoConnections(t *testing.T) {
 	dir := t.TempDir()
 	writeLog(t, dir, "n0.log", func(logEvent func(string, ...any)) {
@@ -95,7 +97,7 @@
 		t.Fatal(err)
 	}
 	if w := Count(l, time.Hour, time.Second, time.Second).Windows[0]; w.Open != 0 || w.Broken != 1 {
-		t.Errorf("%+v", w)
+		t.Errorf("window = %+v, want no open connection and 1 broken", w)
 	}
 }
 
@@ -104,7 +106,7 @@
 	os.WriteFile(filepath.Join(foreign, "x.log"), []byte("not of croftlock\n"), 0o600)
 	for _, dir := range []string{empty, foreign, filepath.Join(empty, "missing")} {
 		if _, err := ReadDir(dir); err == nil {
-			t.Errorf("%s read", dir)
+			t.Errorf("ReadDir(%s) succeeded, want an error", dir)
 		}
 	}
 }
@@ -115,12 +117,12 @@
 	f.Add(" event=")
 	f.Fuzz(func(t *testing.T, line string) {
 		if e, ok := parse(line); ok && (e.Name == "" || e.Time.IsZero()) {
-			t.Errorf("%q: %+v", line, e)
+			t.Errorf("parse(%q) = %+v, true; want a name and a time", line, e)
 		}
 	})
 }
 
-// TestCountLoss: each second of a client counts once, as good or under why it is not.
+// TestCountLoss checks that each second of a client counts once, as good or under the cause of its loss.
 func TestCountLoss(t *testing.T) {
 	at := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	var l Log
@@ -159,11 +161,11 @@
 		}
 	}
 	if got.MaxSpread != 0 || len(got.Hosts) != 3 || got.Hosts[0].Name != "a" || got.Hosts[0].Broken != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("loss = %+v, want no spread, 3 hosts and host a first with 1 broken connection", got)
 	}
 }
 
-// TestEarlierEventNames: logs of earlier versions are read by the names that events have now.
+// TestEarlierEventNames checks that events of earlier versions are read under their current names.
 func TestEarlierEventNames(t *testing.T) {
 	for line, want := range map[string]string{
 		"2026/01/02 03:04:05.000006 event=asked request=q":            "request_received",
@@ -171,7 +173,7 @@
 		"2026/01/02 03:04:05.000006 event=counts open=1":              "counts",
 	} {
 		if e, ok := parse(line); !ok || e.Name != want {
-			t.Errorf("%s is read as %q, %t", line, e.Name, ok)
+			t.Errorf("parse(%q) = event %q, %t; want %q, true", line, e.Name, ok, want)
 		}
 	}
 }
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -6,67 +6,73 @@
 	"time"
 )
 
-// Loss is what became of the seconds that clients wanted to be connected, over all proxies, in seconds.
+// Loss divides the time in which clients wanted to be connected, over all proxies, by what they got. All
+// times are in seconds.
 type Loss struct {
-	Good float64
-	// Connected to a host where messages took long: one with more connections than its share, and one without.
+	Good float64 // connected to a host that was not slow
+	// Time connected to a slow host that had more than its share of connections (Overloaded), or not (Slow).
 	Overloaded, Slow float64
-	// Not connected: before the answer, after a connection was broken, after a rejection, after a migration; each until the client came again,
-	// MaxDisconnected at most.
+	// Time not connected: before the request was answered, after a broken connection, after a rejection and
+	// after a migration. Each lasts until the client returns, for MaxDisconnected at most.
 	Waiting, Broken, Rejected, Migrated float64
-	// MedianSpread is the most connections of a host over the mean, for its weight: the median over the samples, and the worst.
+	// MedianSpread and MaxSpread are the median and the maximum, over the samples, of the largest share of
+	// a host: its connections over the fleet's mean, by weight. They are 0 without a sample that had more
+	// than minSpreadConnections.
 	MedianSpread, MaxSpread float64
-	Hosts                   []HostLoss // those that lost most first
+	Hosts                   []HostLoss // sorted by time lost on overloaded and slow hosts, largest first
 }
 
-// HostLoss is a host's part.
+// HostLoss holds the losses of one host.
 type HostLoss struct {
 	Name                        string
-	Connected, Overloaded, Slow float64 // seconds of connections
-	Broken                      float64 // connections that broke
-	MeanShare, MaxShare         float64 // the mean and the most of its load over the fleet's mean, for its weight
+	Connected, Overloaded, Slow float64 // connection time, in seconds
+	Broken                      float64 // number of connections that were reset
+	MeanShare, MaxShare         float64 // its share of connections: mean and maximum over the samples
 }
 
-// Total is every second.
+// Total returns the sum of all times, in seconds.
 func (l *Loss) Total() float64 {
 	return l.Good + l.Overloaded + l.Slow + l.Waiting + l.Broken + l.Rejected + l.Migrated
 }
 
 const (
-	// MaxDisconnected bounds what a client that does not come again is counted for.
+	// MaxDisconnected is the longest time that a client without a connection is counted, in case it does not
+	// return.
 	MaxDisconnected = 10 * time.Second
-	// delayReportLifetime is how long a reported delay counts.
+	// delayReportLifetime is how long a host counts as slow after a report of a long delay.
 	delayReportLifetime = 1500 * time.Millisecond
-	// overloadShare is how many times its share of connections a host has to have for its slowness to count as load.
+	// overloadShare is the share of connections, over the fleet's mean by weight, above which a slow host
+	// counts as overloaded.
 	overloadShare = 1.25
-	// sampleInterval is the time that one sample counts for.
+	// sampleInterval is the time between samples, which each sample adds to a client's count.
 	sampleInterval = 250 * time.Millisecond
-	// minSpreadConnections is how many connections there have to be for their spread to say something.
+	// minSpreadConnections is the number of connections that a sample must exceed for its spread to be
+	// meaningful.
 	minSpreadConnections = 20
 )
 
-// clientState is what a client that wants a connection has.
+// clientState is the state of a client that wants a connection.
 type clientState int
 
 const (
-	clientWaiting clientState = iota // for its answer
+	clientWaiting clientState = iota // no answer to the request yet
 	clientConnected
-	clientBroken   // its connection broke
-	clientRejected // it was rejected, and may retry
-	clientMigrated // it was migrated, and is to come again
+	clientBroken   // connection was reset
+	clientRejected // request was rejected; the client may retry
+	clientMigrated // connection was migrated; the client is expected to return
 )
 
-// client is one request's client since its last change.
+// client is the client of one request, in the state it has had since a given time.
 type client struct {
 	state clientState
-	host  string // where it is connected
+	host  string // empty unless connected
 	since time.Time
 }
 
 // lossCounter samples the clients of all proxies.
 type lossCounter struct {
 	loss      *Loss
-	objective time.Duration // for a message
+	objective time.Duration // a host with reported message delays of this or longer is slow
 	clients   map[string]*client
 	hosts     map[string]*HostLoss
 	weights   map[string]float64
@@ -74,7 +80,8 @@
 	spreads   []float64
 }
 
-// CountLoss goes through a log sample by sample. A host is slow while it was reported of late that messages took the objective or longer.
+// CountLoss samples the clients of a log at a fixed interval. A host is slow for delayReportLifetime after
+// a report that messages took objective or longer. The log must have an event.
 func CountLoss(l *Log, objective time.Duration) *Loss {
 	c := &lossCounter{loss: &Loss{}, objective: objective, clients: map[string]*client{}, hosts: map[string]*HostLoss{}, weights: map[string]float64{},
 		slowUntil: map[string]time.Time{}}
@@ -90,6 +97,7 @@
 	return c.loss
 }
 
+// host returns the losses of a host, and adds the host if it is new.
 func (c *lossCounter) host(name string) *HostLoss {
 	if c.hosts[name] == nil {
 		c.hosts[name] = &HostLoss{Name: name}
@@ -97,7 +105,7 @@
 	return c.hosts[name]
 }
 
-// applyEvent notes what an event changes.
+// applyEvent updates the clients and hosts that an event concerns.
 func (c *lossCounter) applyEvent(e Event) {
 	request, host := e.Fields["request"], e.Fields["host"]
 	setState := func(state clientState, host string) { c.clients[request] = &client{state, host, e.Time} }
@@ -130,7 +138,8 @@
 	}
 }
 
-// usableWeight is a listed host's weight; 0 where it takes nothing new, since its connections are to go elsewhere.
+// usableWeight returns a listed host's weight. It returns 0 if the host is not ready: it accepts no new
+// connections, and its connections are to move to other hosts.
 func usableWeight(e Event) float64 {
 	weight, err := strconv.ParseFloat(e.Fields["weight"], 64)
 	if err != nil || e.Fields["state"] != "ready" {
@@ -139,7 +148,7 @@
 	return weight
 }
 
-// sample counts every client for the time since the last sample.
+// sample adds one sampleInterval to the count of each client, and records the hosts' shares.
 func (c *lossCounter) sample(now time.Time) {
 	shares, connected := c.shares()
 	maxShare := 0.0
@@ -160,7 +169,8 @@
 	}
 }
 
-// shares are the hosts' connections over the fleet's mean, for their weight, and how many connections there are.
+// shares returns each host's connections over the fleet's mean, by weight, and the number of all
+// connections. Hosts without weight have no share.
 func (c *lossCounter) shares() (shares map[string]float64, connected float64) {
 	connections := map[string]float64{}
 	for _, client := range c.clients {
@@ -186,7 +196,7 @@
 	return shares, connected
 }
 
-// addSample adds one sample of a client to where its time went.
+// addSample adds one sampleInterval of a client to the count of its state.
 func (c *lossCounter) addSample(client *client, now time.Time, shares map[string]float64) {
 	seconds := sampleInterval.Seconds()
 	switch client.state {
@@ -214,7 +224,7 @@
 	}
 }
 
-// finish makes means of sums, and puts the hosts in order.
+// finish divides the sums of shares by the number of samples, sorts the hosts and sets the spreads.
 func (c *lossCounter) finish(samples float64) {
 	for _, h := range c.hosts {
 		h.MeanShare /= samples
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares a test's output with a file under testdata. Run a test with -update to write its files again, for a change that is
-// meant to alter them.
+// Package golden compares a test's output with a file under testdata. For a change that is meant to alter
+// the output, run the test with -update to write its files again.
 package golden
 
 import (
@@ -18,9 +18,10 @@
 	"croftlock/internal/testbed/parallel"
 )
 
-var update = flag.Bool("update", false, "write the golden files from what the code gives now")
+var update = flag.Bool("update", false, "write the golden files from the current output")
 
-// Check fails the test if got differs from testdata/name, and names the first line that differs.
+// Check fails the test if got differs from testdata/name, and reports the first line that differs. With
+// -update it writes the file instead.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -45,7 +46,7 @@
 	}
 }
 
-// Read returns a golden file's bytes.
+// Read returns the contents of testdata/name. It fails the test if the file cannot be read.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -55,10 +56,10 @@
 	return data
 }
 
-// Updating returns whether the test run writes its golden files.
+// Updating reports whether the test run writes its golden files.
 func Updating() bool { return *update }
 
-// lineOrEnd is line i, or says that the file has ended.
+// lineOrEnd returns line i, or "end of file" if there are fewer lines.
 func lineOrEnd(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
@@ -66,23 +67,23 @@
 	return "end of file"
 }
 
-// Digest is a hash over a sequence of records, for sequences that are too long for a golden file.
+// Digest is a SHA-256 hash over a sequence of records, for sequences too long for a golden file.
 type Digest struct {
 	hash    hash.Hash
 	records int
 }
 
-// NewDigest makes the digest of an empty sequence.
+// NewDigest returns the digest of an empty sequence.
 func NewDigest() *Digest { return &Digest{hash: sha256.New()} }
 
-// Add appends one record.
+// Add appends one record, formatted as by fmt.Sprintf.
 func (d *Digest) Add(format string, args ...any) {
 	fmt.Fprintf(d.hash, format, args...)
 	d.hash.Write([]byte{'\n'})
 	d.records++
 }
 
-// String is the number of records and the hash over all of them.
+// String returns the number of records and the hash over all of them.
 func (d *Digest) String() string {
 	return fmt.Sprintf("records=%d sha256=%s", d.records, hex.EncodeToString(d.hash.Sum(nil)))
 }
@@ -94,12 +95,12 @@
 	order   []string
 }
 
-// NewSamples keeps up to perKind messages of each kind.
+// NewSamples returns Samples that keep up to perKind messages of each kind.
 func NewSamples(perKind int) *Samples {
 	return &Samples{perKind: perKind, kinds: map[string][]string{}}
 }
 
-// Add adds a message, unless its kind is complete or has the same message already.
+// Add adds a message, unless its kind has perKind messages already or contains the same message.
 func (s *Samples) Add(kind string, message []byte) {
 	seen, known := s.kinds[kind]
 	if !known {
@@ -111,7 +112,8 @@
 	}
 }
 
-// Bytes has one line for each message: its kind, and its bytes in hexadecimal.
+// Bytes returns one line for each message: its kind, and its bytes in hexadecimal. Kinds are in the order
+// in which they were first added.
 func (s *Samples) Bytes() []byte {
 	var out bytes.Buffer
 	for _, kind := range s.order {
@@ -122,5 +124,6 @@
 	return out.Bytes()
 }
 
-// InParallel plays the recorded sequences from first to one below end, on all cores, and returns once all have been played.
+// InParallel calls run for each number from first to end-1, in parallel on all cores, and returns when
+// all calls have returned. Tests run their recorded sequences with it.
 func InParallel(first, end int, run func(i int)) { parallel.ForEach(first, end, run) }
--- a/internal/testbed/parallel/parallel.go
+++ b/internal/testbed/parallel/parallel.go
@@ -1,4 +1,5 @@
-// Package parallel plays numbered simulations and recorded sequences on all cores, for experiments and tests.
+// Package parallel runs numbered simulations and recorded sequences on all cores, for experiments and
+// tests.
 package parallel
 
 import (
@@ -6,7 +7,8 @@
 	"sync"
 )
 
-// ForEach calls do for each number from first to one below end, in parallel on all cores, and returns once all calls have.
+// ForEach calls call for each number from first to end-1, in parallel on all cores, and returns when all
+// calls have returned.
 func ForEach(first, end int, call func(i int)) {
 	next := make(chan int)
 	var workers sync.WaitGroup
--- a/internal/testbed/simulator/adapter.go
+++ b/internal/testbed/simulator/adapter.go
@@ -1,7 +1,8 @@
-// Package simulator is the adapter to the simulator: it reads batches of events in the simulator's line
-// protocol, gives them to the balancers that they name, and writes their effects as the reply. It holds no
-// policy. The themed names of the protocol end here: they are known to the JSON tags of message.go, and to the
-// tables and names of actions in decode.go and effects.go.
+// Package simulator connects balancers to the simulator. It reads batches of events in the simulator's
+// line protocol, delivers them to the balancers that they name, and writes the balancers' effects as the
+// reply. It makes no decisions of its own. The protocol's own names occur only in this package: in the
+// message types and JSON tags of message.go, and in the tables and action names of decode.go and
+// effects.go.
 package simulator
 
 import (
@@ -12,18 +13,19 @@
 	"croftlock/internal/balancer"
 )
 
-// Factory makes the balancer of one instance.
+// Factory creates the balancer of one instance. Adapter passes it the seed of the Init message.
 type Factory func(cfg balancer.Config, seed int64, fx balancer.Effects) (*balancer.Balancer, error)
 
-// Adapter holds the instances of one process, which share nothing.
+// Adapter runs the balancer instances of one process, which share no state. It is not safe for
+// concurrent use.
 type Adapter struct {
 	newBalancer Factory
 	instances   map[string]*instance
-	hostLists   map[int][]balancer.ListedHost // endpoint lists by number, to which later messages refer
+	hostLists   map[int][]balancer.ListedHost // endpoint lists by the number that later messages name
 	reply       reply
 }
 
-// NewAdapter makes an adapter that builds its instances with the given factory.
+// NewAdapter returns an Adapter that creates its instances with f.
 func NewAdapter(f Factory) *Adapter {
 	return &Adapter{newBalancer: f, instances: map[string]*instance{}, hostLists: map[int][]balancer.ListedHost{}}
 }
@@ -33,8 +35,9 @@
 	errMissingType = errors.New("no event_type")
 )
 
-// HandleBatch answers one line of events with one line of actions, which is valid until the next call. An error says
-// which message cannot be understood; then there is no reply.
+// HandleBatch delivers one line of events and returns one line of actions, which is valid until the
+// next call. If a message is invalid, it returns an error that names the message, and no reply. The
+// messages before the invalid one have taken effect.
 func (a *Adapter) HandleBatch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
@@ -52,7 +55,7 @@
 	return a.reply.finish(), nil
 }
 
-// handle carries out one message.
+// handle processes one message of a batch at time now.
 func (a *Adapter) handle(now balancer.Time, m *message) error {
 	switch {
 	case m.Type == "":
@@ -85,8 +88,8 @@
 	return nil
 }
 
-// callRecovering reports a panic of an instance as the protocol asks, in place of a crash of the whole process. The
-// instance gets no further events.
+// callRecovering calls call with the instance's balancer. If call panics, it adds a Bug action, as the
+// protocol requires, so that the process does not crash. The instance then receives no further events.
 func (a *Adapter) callRecovering(inst *instance, call func(*balancer.Balancer)) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/testbed/simulator/adapter_test.go
+++ b/internal/testbed/simulator/adapter_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	var r struct{ Outbox []action }
 	if err := json.Unmarshal(out, &r); err != nil {
-		t.Fatalf("the reply is no JSON: %v: %s", err, out)
+		t.Fatalf("the reply is not valid JSON: %v: %s", err, out)
 	}
 	return r.Outbox
 }
@@ -56,17 +56,19 @@
 	}
 	sends := actionsOfType(actions(t, out), "Dispatch")
 	if len(sends) != 1 || sends[0]["server"] != "S" || sends[0]["request_id"] != "q" || sends[0]["balancer"] != "B" {
-		t.Fatalf("expected one Dispatch of q to S: %s", out)
+		t.Fatalf("reply = %s, want one Dispatch of q to S", out)
 	}
 }
 
 func TestEmptyBatch(t *testing.T) {
 	out, err := NewAdapter(balancer.New).HandleBatch([]byte(`{"time":5,"msgs":[]}`))
 	if err != nil || string(out) != "{\"outbox\":[]}\n" {
-		t.Fatalf("%s %v", out, err)
+		t.Fatalf("empty batch: reply %q, error %v, want an empty outbox", out, err)
 	}
 }
 
+// TestSheetReplacedWithinBatch guards against attempts at hosts of an endpoint list that a later message
+// of the same batch has replaced.
 func TestSheetReplacedWithinBatch(t *testing.T) {
 	a := NewAdapter(balancer.New)
 	again := strings.Replace(directoryMsg, `"server":"S"`, `"server":"T"`, 1)
@@ -76,10 +78,12 @@
 		t.Fatal(err)
 	}
 	if s := actionsOfType(actions(t, out), "Dispatch"); len(s) != 1 || s[0]["server"] != "T" {
-		t.Fatalf("the attempt is not at the host of the newer sheet: %s", out)
+		t.Fatalf("reply = %s, want one Dispatch to T, the host of the newer sheet", out)
 	}
 }
 
+// TestExitAndRestartWithinBatch guards against an instance that acts on the end of an attempt of the
+// earlier instance of the same name.
 func TestExitAndRestartWithinBatch(t *testing.T) {
 	a := NewAdapter(balancer.New)
 	exit := `{"event_type":"Exit","balancer":"B"}`
@@ -89,7 +93,7 @@
 		t.Fatal(err)
 	}
 	if s := actionsOfType(actions(t, out), "Dispatch"); len(s) != 2 {
-		t.Fatalf("the end of an attempt of the instance before acted on the new one: %s", out)
+		t.Fatalf("%d Dispatch actions, want 2: the new instance acted on an attempt of the earlier one: %s", len(s), out)
 	}
 }
 
@@ -105,7 +109,7 @@
 		`{"event_type":"HealthResult","balancer":"B","server":"nowhere","ending":"OK"}`,
 		`{"event_type":"Fired","balancer":"B","ref":"nothing"}`))
 	if err != nil || len(actions(t, out)) != 0 {
-		t.Fatalf("%s %v", out, err)
+		t.Fatalf("events with unknown names: reply %s, error %v, want no action", out, err)
 	}
 }
 
@@ -129,7 +133,7 @@
 	} {
 		out, err := NewAdapter(balancer.New).HandleBatch(msgs)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || out != nil {
-			t.Errorf("expected an error with %q and no reply, got %v, %s", want, err, out)
+			t.Errorf("HandleBatch(%s): error %v, reply %q, want an error with %q and no reply", msgs, err, out, want)
 		}
 	}
 }
@@ -141,10 +145,12 @@
 		t.Fatal(err)
 	}
 	if b := actionsOfType(actions(t, out), "Bug"); len(b) != 1 || b[0]["balancer"] != "B" {
-		t.Fatalf("expected one Bug of B: %s", out)
+		t.Fatalf("reply = %s, want one Bug of B", out)
 	}
 }
 
+// TestInstancesDoNotMix guards against state that instances of one process share: the actions of B are
+// the same with and without a second instance.
 func TestInstancesDoNotMix(t *testing.T) {
 	run := func(others bool) string {
 		a := NewAdapter(balancer.New)
@@ -176,6 +182,6 @@
 		return got
 	}
 	if alone, together := run(false), run(true); alone != together || alone == "" {
-		t.Fatalf("actions of B alone, and with another instance in the process:\n%s\n%s", alone, together)
+		t.Fatalf("actions of B differ, or are missing. Alone:\n%s\nwith another instance in the process:\n%s", alone, together)
 	}
 }
--- a/internal/testbed/simulator/decisions_test.go
+++ b/internal/testbed/simulator/decisions_test.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// The recorded decisions: generated sequences of events, and the actions with which the decision module answers them. They are played
-// over the simulator's wire, whose names do not change when the code's do.
+// The recorded decisions are generated sequences of events and the actions that the decision module
+// returns for them. They use the simulator's protocol, whose names do not change when the code's do.
 
 const (
 	sequences         = 210
@@ -22,10 +22,11 @@
 	second            = int64(1e9)
 )
 
-// failureStatuses are the endings that an attempt may have before its connection is established.
+// failureStatuses are the endings of attempts whose connection was not established.
 var failureStatuses = []string{"INTERNAL", "RESOURCE_EXHAUSTED", "DEADLINE_EXCEEDED", "UNAVAILABLE", "ABORTED"}
 
-// sequence plays one generated sequence.
+// sequence generates one sequence of events and simulates the clients, hosts and discovery around the
+// balancers. Times are in nanoseconds.
 type sequence struct {
 	seed           int64
 	rng            *rand.Rand
@@ -47,14 +48,14 @@
 	digest         *golden.Digest
 }
 
-// scheduledEvent is an event that follows from an action after a delay.
+// scheduledEvent is an event that is delivered at a later time.
 type scheduledEvent struct {
 	at    int64
 	order int
 	event map[string]any
 }
 
-// liveRequest is what a client and a host know of a request.
+// liveRequest is the state of a request at its client and its host.
 type liveRequest struct {
 	balancer, id, host            string
 	attempt                       int
@@ -80,8 +81,9 @@
 	return s
 }
 
-// configForSeed draws one of the shapes that the deployments' configForSeed have: with and without messages between balancers, health checks,
-// tenants, groups, mid-flow connections, and each kind of idempotency.
+// configForSeed returns settings that the seed selects. The seeds cover the forms of deployments'
+// settings: with and without messages between balancers, health checks, tenants, groups and mid-flow
+// connections, and each kind of idempotency.
 func (s *sequence) configForSeed(instance, instances int) json.RawMessage {
 	bit := func(n uint) bool { return s.seed>>n&1 == 1 }
 	s.hasGroups, s.healthChecks = bit(1), s.seed%5 < 2
@@ -124,7 +126,8 @@
 	return s.marshal(c)
 }
 
-// fail ends the sequence. A sequence may run beside others, where a test must not be ended.
+// fail panics with the seed and the number of events. Sequences run in goroutines of their own, which
+// must not call t.Fatal.
 func (s *sequence) fail(format string, args ...any) {
 	panic(fmt.Sprintf("seed %d, event %d: ", s.seed, s.events) + fmt.Sprintf(format, args...))
 }
@@ -137,20 +140,21 @@
 	return data
 }
 
-// startBalancer starts a balancer with the list that it last had.
+// startBalancer starts a balancer with the current list of hosts, as restored from its stored list.
 func (s *sequence) startBalancer(name string) {
 	hostList := s.hostList(s.hosts)
 	s.deliver(map[string]any{"event_type": "Init", "balancer": name, "salt": s.seed*100 + int64(s.listVersion), "config": s.config[name]}, hostList,
 		map[string]any{"event_type": "Membership", "balancer": name, "form": "restored", "gen": s.listVersion, "sheet": s.listNumber})
 }
 
-// hostList names a list of hosts for the events that follow.
+// hostList returns the event that stores hosts under the next list number, which s.listNumber holds for
+// the events that follow.
 func (s *sequence) hostList(hosts []listedHost) map[string]any {
 	s.listNumber++
 	return map[string]any{"event_type": "Directory", "sheet": s.listNumber, "elements": hosts}
 }
 
-// deliver gives a batch of events to the adapter and follows its actions.
+// deliver sends a batch of events to the adapter, and applies the actions of the reply.
 func (s *sequence) deliver(events ...map[string]any) {
 	reply, err := s.adapter.HandleBatch(s.marshal(map[string]any{"time": s.now, "msgs": events}))
 	s.events += len(events)
@@ -161,7 +165,7 @@
 	s.applyReply(reply)
 }
 
-// schedule has an event come after a delay.
+// schedule delivers an event after a delay. Events of the same time keep their order.
 func (s *sequence) schedule(delay int64, event map[string]any) {
 	s.scheduledCount++
 	s.scheduled = append(s.scheduled, scheduledEvent{s.now + delay, s.scheduledCount, event})
@@ -170,8 +174,10 @@
 	})
 }
 
+// randomDelay returns a delay of at least 1 ms and less than limit + 1 ms.
 func (s *sequence) randomDelay(limit int64) int64 { return millisecond + s.rng.Int63n(limit) }
 
+// run delivers eventsPerSequence events or a few more, and returns the digest of the replies.
 func (s *sequence) run() string {
 	for s.events < eventsPerSequence {
 		s.advance(s.rng.Int63n(30 * millisecond))
@@ -183,7 +189,8 @@
 	return s.digest.String()
 }
 
-// TestRecordedDecisions: the same events give the same actions as when they were recorded.
+// TestRecordedDecisions guards against unintended changes of decisions: the recorded sequences must
+// yield the recorded actions.
 func TestRecordedDecisions(t *testing.T) {
 	lines := make([]string, sequences)
 	golden.InParallel(0, sequences, func(seed int) {
--- a/internal/testbed/simulator/decode.go
+++ b/internal/testbed/simulator/decode.go
@@ -8,24 +8,28 @@
 	"croftlock/internal/balancer"
 )
 
+// attemptStatuses maps the protocol's endings of an attempt or a health check.
 var attemptStatuses = map[string]balancer.AttemptStatus{
 	"OK": balancer.OK, "INTERNAL": balancer.Error, "RESOURCE_EXHAUSTED": balancer.Full,
 	"DEADLINE_EXCEEDED": balancer.Timeout, "UNAVAILABLE": balancer.ConnectFailed, "ABORTED": balancer.Reset,
 	"CANCELLED": balancer.Cancelled, "TOO_LATE": balancer.TooLate,
 }
 
+// hostStates maps the protocol's states of a listed host.
 var hostStates = map[string]balancer.HostState{
 	"healthy": balancer.Ready, "cordoned": balancer.Draining, "deregistered": balancer.Removed,
 }
 
+// listChanges maps the protocol's forms of an endpoint list.
 var listChanges = map[string]balancer.ListChange{
 	"update": balancer.ListDelta, "replace": balancer.ListFull, "restored": balancer.ListCached,
 	"unavailable": balancer.ListFailed,
 }
 
+// missingField returns the error for a message without a required field.
 func missingField(m *message, field string) error { return fmt.Errorf("%s without %s", m.Type, field) }
 
-// decode checks a message for a running instance and gives its event.
+// decode validates a message for a running instance and returns its event.
 func (a *Adapter) decode(inst *instance, m *message) (event, error) {
 	if err := requireIDs(m); err != nil {
 		return nil, err
@@ -58,7 +62,7 @@
 	return nil, fmt.Errorf("unknown event %q", m.Type)
 }
 
-// requireIDs checks that a message names the request and the host that it is about.
+// requireIDs returns an error if a message lacks the request ID or the host that its type requires.
 func requireIDs(m *message) error {
 	switch m.Type {
 	case typeRequest, typeClientLeft, typeAdopted, typeObservation, typeAttemptEnded, typeEstablished:
@@ -75,6 +79,7 @@
 	return nil
 }
 
+// decodeList decodes a change of the endpoint list. It resolves the list's number.
 func (a *Adapter) decodeList(m *message) (event, error) {
 	change, ok := listChanges[m.Change]
 	if !ok {
@@ -93,6 +98,7 @@
 	return e, nil
 }
 
+// decodeStatus decodes the end of a health check or of an attempt.
 func decodeStatus(m *message) (event, error) {
 	status, ok := attemptStatuses[m.Status]
 	if !ok {
@@ -105,7 +111,7 @@
 		closed: m.Closed, load: m.Load}, nil
 }
 
-// decodeRequest reads a request, or a connection that is already open.
+// decodeRequest decodes a new request, or a connection that is already open at a host.
 func (inst *instance) decodeRequest(m *message) (event, error) {
 	r := balancer.Request{ID: m.RequestID, Key: m.Key, Group: m.Group, Tenant: inst.tenantIndex(m.Tenant),
 		Retry: m.Flags&flagRetry != 0, MidFlow: m.Flags&flagMidFlow != 0, Returned: m.Flags&flagReturned != 0}
@@ -131,7 +137,8 @@
 	return requestArrived{request: r}, nil
 }
 
-// tenantIndex is the index of the tenantIndex that a message names; -1: none, or one that the settings do not name.
+// tenantIndex returns the index of the tenant that a message names. It returns -1 if the message names
+// none, or one that is not in the settings.
 func (inst *instance) tenantIndex(raw json.RawMessage) int {
 	var name string
 	if len(raw) == 0 || json.Unmarshal(raw, &name) != nil {
--- a/internal/testbed/simulator/effects.go
+++ b/internal/testbed/simulator/effects.go
@@ -7,12 +7,13 @@
 	"croftlock/internal/balancer"
 )
 
-// effects writes the effects of one balancer as actions of the reply.
+// effects implements balancer.Effects. It writes the effects of one balancer as actions of the reply.
 type effects struct {
 	reply    *reply
 	balancer string
 }
 
+// begin begins an action of the balancer.
 func (fx *effects) begin(name string) *reply {
 	fx.reply.balancer = fx.balancer
 	return fx.reply.begin(name)
@@ -69,7 +70,8 @@
 // Report implements balancer.Effects.
 func (fx *effects) Report(e balancer.Event) { fx.begin("Print").text("message", eventText(e)).end() }
 
-// eventText is the sentence that an event is in the protocol.
+// eventText returns the message of a Print action for an event: a fixed sentence, or the name of the
+// event's type if it has none.
 func eventText(e balancer.Event) string {
 	switch e := e.(type) {
 	case balancer.HostEjected:
--- a/internal/testbed/simulator/event.go
+++ b/internal/testbed/simulator/event.go
@@ -2,7 +2,7 @@
 
 import "croftlock/internal/balancer"
 
-// event is a decoded message for one balancer.
+// event is a decoded message that can be delivered to one balancer.
 type event interface {
 	deliver(b *balancer.Balancer, now balancer.Time)
 }
--- a/internal/testbed/simulator/instance.go
+++ b/internal/testbed/simulator/instance.go
@@ -8,15 +8,15 @@
 	"croftlock/internal/operations/balancerconfig"
 )
 
-// instance is one balancer, from its start message to its exit.
+// instance is one balancer, from its Init message to its Exit message.
 type instance struct {
 	balancer *balancer.Balancer
 	classes  map[string]int // index by name
 	tenants  map[string]int // index by name
-	panicked bool           // it has panicked
+	panicked bool           // whether the balancer has panicked; it then receives no events
 }
 
-// storeHostList keeps an endpoint list under its number.
+// storeHostList stores an endpoint list under its number, and replaces an earlier list of that number.
 func (a *Adapter) storeHostList(m *message) error {
 	if m.ListNumber == nil {
 		return missingField(m, "sheet")
@@ -37,7 +37,8 @@
 	return nil
 }
 
-// startInstance makes the balancer that a start message describes, in place of one of the same name.
+// startInstance creates the balancer that an Init message describes. It replaces an instance of the same
+// name.
 func (a *Adapter) startInstance(m *message) error {
 	if len(m.Config) == 0 {
 		return missingField(m, "config")
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// parseSeed reads a whole number of 64 bits, with or without a sign. Empty is 0.
+// parseSeed parses a signed or unsigned 64-bit integer. An empty string is 0.
 func parseSeed(s string) (int64, error) {
 	if s == "" {
 		return 0, nil
@@ -75,7 +76,7 @@
 	}
 	n, err := strconv.ParseUint(s, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("message Init with salt %q, which is no whole number", s)
+		return 0, fmt.Errorf("message Init with salt %q, which is not a 64-bit integer", s)
 	}
 	return int64(n), nil
 }
--- a/internal/testbed/simulator/instances_test.go
+++ b/internal/testbed/simulator/instances_test.go
@@ -7,7 +7,8 @@
 	"croftlock/internal/balancer"
 )
 
-// changeHost has a host drain, be removed, come back or restart, and brings it to some balancers.
+// changeHost changes the state of a random host, may restart it or add a host, and sends the update to
+// some of the balancers.
 func (s *sequence) changeHost() {
 	i := s.rng.Intn(len(s.hosts))
 	e := &s.hosts[i]
@@ -27,7 +28,7 @@
 	}
 }
 
-// callBalancer calls a balancer's decision module with what the wire has no event for.
+// callBalancer calls a balancer directly, for inputs that the protocol has no event for.
 func (s *sequence) callBalancer(name string, call func(b *balancer.Balancer)) {
 	s.adapter.reply.start()
 	s.adapter.callRecovering(s.adapter.instances[name], call)
@@ -37,7 +38,7 @@
 	s.applyReply(reply)
 }
 
-// toggleSuspension has an operator toggleSuspension a host, or end its suspension.
+// toggleSuspension suspends a random host as an operator does, or ends its suspension.
 func (s *sequence) toggleSuspension(name string) {
 	e := s.hosts[s.rng.Intn(len(s.hosts))]
 	entry := balancer.ListedHost{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, StartedAt: e.StartedAt}
@@ -49,14 +50,14 @@
 	})
 }
 
-// restart ends a balancer with its connections, and starts it anew.
+// restart ends a balancer and its connections, and starts it again.
 func (s *sequence) restart(name string) {
 	s.dropBalancer(name)
 	s.deliver(map[string]any{"event_type": "Exit", "balancer": name})
 	s.startBalancer(name)
 }
 
-// dropBalancer drops the events and requests of a balancer that has ended.
+// dropBalancer removes the scheduled events and the requests of a balancer that has ended.
 func (s *sequence) dropBalancer(name string) {
 	var scheduled []scheduledEvent
 	for _, d := range s.scheduled {
@@ -74,7 +75,8 @@
 	s.requests = requests
 }
 
-// hotRestart has another process of a balancer take over, with its snapshot and its open connections.
+// hotRestart restarts a balancer as a hot restart does: the new process restores the snapshot and
+// adopts the open connections.
 func (s *sequence) hotRestart(name string) {
 	snapshot := s.adapter.instances[name].balancer.Snapshot(true)
 	stored, err := json.Marshal(snapshot)
--- a/internal/testbed/simulator/message.go
+++ b/internal/testbed/simulator/message.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Types of messages.
+// Message types, and the bits of message.Flags.
 const (
 	typeStart        = "Init"
 	typeExit         = "Exit"
@@ -23,20 +23,21 @@
 	flagReturned     = 16
 )
 
-// balancerTypes are the types that name a balancer.
+// balancerTypes holds the types of the messages that are addressed to a balancer.
 var balancerTypes = map[string]bool{
 	typeStart: true, typeExit: true, typeListChange: true, typeRequest: true, typeAdopted: true, typeClientLeft: true,
 	typeHealthCheck: true, typeTimer: true, typeObservation: true, typeAttemptEnded: true, typeEstablished: true,
 	typePeerMessage: true,
 }
 
-// batch is one line of input.
+// batch is one line of input: messages that arrive at the same time.
 type batch struct {
 	Time     *int64    `json:"time"` // nanoseconds
 	Messages []message `json:"msgs"`
 }
 
-// message has the fields of all types of messages, so that a line is parsed in one pass; each type uses some.
+// message holds the fields of all message types, so that a line is parsed in one pass. Each type uses
+// some of them.
 type message struct {
 	Type       string          `json:"event_type"`
 	Balancer   string          `json:"balancer"`
@@ -62,12 +63,12 @@
 	ListNumber *int            `json:"sheet"`
 	Hosts      []listedHost    `json:"elements"`
 	Change     string          `json:"form"`
-	Version    int64           `json:"gen"` // of the list; decides nothing, but has to be a number
+	Version    int64           `json:"gen"` // version of the list; unused, but must be an integer
 	Peer       int             `json:"origin_peer"`
 	Contents   string          `json:"contents"` // base64
 }
 
-// listedHost is a host in an endpoint list.
+// listedHost is a host of an endpoint list.
 type listedHost struct {
 	State     string  `json:"stage_state"`
 	Zone      string  `json:"region_part"`
--- a/internal/testbed/simulator/replies_test.go
+++ b/internal/testbed/simulator/replies_test.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// replyAction is one action of a reply, with the fields of all kinds.
+// replyAction is one action of a reply. It holds the fields of all kinds of actions.
 type replyAction struct {
 	Type     string `json:"event_type"`
 	Balancer string `json:"balancer"`
@@ -15,7 +15,7 @@
 	Peer     *int   `json:"dst"`
 }
 
-// applyReply does what clients, hosts, discovery and the network do upon the actions of a reply.
+// applyReply simulates how clients, hosts, discovery and the network respond to the actions of a reply.
 func (s *sequence) applyReply(reply []byte) {
 	var r struct {
 		Outbox []replyAction `json:"outbox"`
@@ -28,6 +28,7 @@
 	}
 }
 
+// applyAction simulates the response to one action.
 func (s *sequence) applyAction(a replyAction) {
 	request := s.byID[a.Balancer+"/"+a.Request]
 	switch a.Type {
@@ -35,7 +36,7 @@
 		s.fail("the decision module panicked")
 	case "Dispatch":
 		if request == nil || request.inFlight || request.closed {
-			s.fail("an attempt of %s, which has one in flight or is closed", a.Request)
+			s.fail("attempt started for request %s, which is unknown, closed or has an attempt in flight", a.Request)
 		}
 		request.attempt++
 		request.inFlight, request.host, request.startedAt, request.timeout = true, a.Host, s.now, a.Timeout
@@ -66,7 +67,8 @@
 	}
 }
 
-// sendToPeers carries a message to other balancers; one in ten is lost.
+// sendToPeers schedules a message for its destination, or for all other balancers if it names none.
+// One in ten is lost.
 func (s *sequence) sendToPeers(a replyAction) {
 	from := 0
 	for i, b := range s.balancers {
@@ -82,7 +84,7 @@
 	}
 }
 
-// advance lets time pass, and brings the events that are due.
+// advance moves the time forward by by nanoseconds, and delivers the events that become due.
 func (s *sequence) advance(by int64) {
 	end := s.now + by
 	for len(s.scheduled) > 0 && s.scheduled[0].at <= end && s.events < eventsPerSequence {
@@ -95,6 +97,7 @@
 	s.endOverdueAttempts()
 }
 
+// deliverScheduled delivers a scheduled event. The types end, return and list are internal to the test.
 func (s *sequence) deliverScheduled(event map[string]any) {
 	switch event["event_type"] {
 	case "end":
@@ -115,7 +118,7 @@
 	}
 }
 
-// endOverdueAttempts ends the attempts that have used up their time.
+// endOverdueAttempts ends the attempts whose timeout has passed before they were established.
 func (s *sequence) endOverdueAttempts() {
 	for _, r := range s.requests {
 		if r.inFlight && !r.established && r.timeout > 0 && s.now >= r.startedAt+r.timeout {
@@ -124,7 +127,7 @@
 	}
 }
 
-// endAttempt ends an attempt, or its connection.
+// endAttempt ends an attempt, or its connection if it is established, and delivers the response.
 func (s *sequence) endAttempt(r *liveRequest, ending string) {
 	wasEstablished := r.established
 	r.inFlight, r.established = false, false
--- a/internal/testbed/simulator/reply.go
+++ b/internal/testbed/simulator/reply.go
@@ -5,24 +5,26 @@
 	"strconv"
 )
 
-// reply builds a line of actions, which is written only once it is complete. Its buffer is reused.
+// reply builds one line of actions. Its buffer is reused, so the line is valid until the next start.
 type reply struct {
 	buf        []byte
-	hasActions bool   // it holds an action
-	balancer   string // that acts
+	hasActions bool   // whether the line holds an action
+	balancer   string // name of the balancer whose actions follow
 }
 
+// start begins a new line and discards the last one.
 func (w *reply) start() {
 	w.buf = append(w.buf[:0], `{"outbox":[`...)
 	w.hasActions = false
 }
 
+// finish ends the line and returns it.
 func (w *reply) finish() []byte {
 	w.buf = append(w.buf, "]}\n"...)
 	return w.buf
 }
 
-// begin begins an begin; end ends it.
+// begin begins an action of w.balancer. The caller adds the action's fields and calls end.
 func (w *reply) begin(name string) *reply {
 	if w.hasActions {
 		w.buf = append(w.buf, ',')
--- a/internal/testbed/simulator/requests_test.go
+++ b/internal/testbed/simulator/requests_test.go
@@ -7,7 +7,8 @@
 
 func (s *sequence) randomBalancer() string { return s.balancers[s.rng.Intn(len(s.balancers))] }
 
-// newRequest makes the fields that an arriving request and an adopted connection share.
+// newRequest adds a request and returns it with the fields that the events of an arriving request and
+// an adopted connection share.
 func (s *sequence) newRequest(kind, name string, bits int) (*liveRequest, map[string]any) {
 	s.nextID++
 	r := &liveRequest{balancer: name, id: fmt.Sprintf("r%d", s.nextID), attempt: -1}
@@ -35,7 +36,8 @@
 	s.deliver(e)
 }
 
-// deliverRandomEvent brings one drawn event.
+// deliverRandomEvent chooses a kind of event at random and delivers it. It delivers nothing if the event
+// needs a request and there is none that fits.
 func (s *sequence) deliverRandomEvent() {
 	switch draw := s.rng.Intn(100); {
 	case draw < 42:
@@ -66,7 +68,8 @@
 	}
 }
 
-// progressAttempt moves on an attempt that is in flight, or its connection.
+// progressAttempt establishes, observes or ends a random attempt that is in flight. It does nothing if
+// there is none.
 func (s *sequence) progressAttempt() {
 	var inFlight []*liveRequest
 	for _, r := range s.requests {
@@ -95,6 +98,7 @@
 	}
 }
 
+// leaveClient ends a random request without an established connection, as if its client had left.
 func (s *sequence) leaveClient() {
 	var waiting []*liveRequest
 	for _, r := range s.requests {
