--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -10,7 +10,8 @@
 // times are in seconds.
 type Loss struct {
 	Good float64 // connected to a host that was not slow
-	// Time connected to a slow host that had more than its share of connections (Overloaded), or not (Slow).
+	// Time connected to a slow host whose share of connections was above overloadShare (Overloaded), or not
+	// (Slow).
 	Overloaded, Slow float64
 	// Time not connected: before the request was answered, after a broken connection, after a rejection and
 	// after a migration. Each lasts until the client returns, for MaxDisconnected at most.
@@ -27,7 +28,7 @@
 	Name                        string
 	Connected, Overloaded, Slow float64 // connection time, in seconds
 	Broken                      float64 // number of connections that were reset
-	MeanShare, MaxShare         float64 // its share of connections: mean and maximum over the samples
+	MeanShare, MaxShare         float64 // mean and maximum of its connections over the fleet's mean, by weight
 }
 
 // Total returns the sum of all times, in seconds.
@@ -148,7 +149,8 @@
 	return weight
 }
 
-// sample adds one sampleInterval to the count of each client, and records the hosts' shares.
+// sample adds one sampleInterval to the count of each client, and records the hosts' shares. It drops
+// clients that have not been connected for longer than MaxDisconnected.
 func (c *lossCounter) sample(now time.Time) {
 	shares, connected := c.shares()
 	maxShare := 0.0
--- a/internal/testbed/simulator/adapter.go
+++ b/internal/testbed/simulator/adapter.go
@@ -1,8 +1,8 @@
 // Package simulator connects balancers to the simulator. It reads batches of events in the simulator's
 // line protocol, delivers them to the balancers that they name, and writes the balancers' effects as the
-// reply. It makes no decisions of its own. The protocol's own names occur only in this package: in the
-// message types and JSON tags of message.go, and in the tables and action names of decode.go and
-// effects.go.
+// reply. It makes no decisions of its own. Only this package uses the protocol's names of events, actions
+// and fields: the message types and JSON tags of message.go, and the tables and action names of
+// decode.go and effects.go.
 package simulator
 
 import (
--- a/internal/testbed/simulator/message.go
+++ b/internal/testbed/simulator/message.go
@@ -2,7 +2,8 @@
 
 import "encoding/json"
 
-// Message types, and the bits of message.Flags.
+// Message types, and the bits of message.Flags. The last three bits set the fields of balancer.Request of
+// the same names.
 const (
 	typeStart        = "Init"
 	typeExit         = "Exit"
--- a/internal/testbed/simulator/replies_test.go
+++ b/internal/testbed/simulator/replies_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// advance moves the time forward by by nanoseconds, and delivers the events that become due.
-func (s *sequence) advance(by int64) {
-	end := s.now + by
+// advance moves the time forward by duration, in nanoseconds, and delivers the events that become due.
+func (s *sequence) advance(duration int64) {
+	end := s.now + duration
 	for len(s.scheduled) > 0 && s.scheduled[0].at <= end && s.events < eventsPerSequence {
 		d := s.scheduled[0]
 		s.scheduled = s.scheduled[1:]
