--- a/internal/testbed/experiment/command.go
+++ b/internal/testbed/experiment/command.go
@@ -13,10 +13,11 @@
 
 // experiment is an experiment that the run command starts by its name.
 type experiment struct {
-	name, short string
+	name, short string // name on the command line, and a summary for the list command
 	run         func(e *Env, r *Report) error
 }
 
+// experiments lists all experiments in the order in which the list command prints them.
 var experiments = []experiment{
 	{"tls-cost", "what TLS to servers costs: handshakes, lines, memory; about 90 s", tlsCost},
 	{"tls-rotation", "six replacements of certificates under load; 35 s", tlsRotation},
@@ -70,6 +71,7 @@
 	return 0
 }
 
+// listCommand returns the command that prints the names and summaries of all experiments.
 func listCommand() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Name the experiments", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
@@ -79,6 +81,8 @@
 		}}
 }
 
+// runCommand returns the command that runs the named experiments in sequence. It stops at the first
+// one that returns an error; a missed bound does not stop it.
 func (p *program) runCommand() *cobra.Command {
 	return &cobra.Command{Use: "run NAME...", Short: "Run experiments; exit with status 1 if a bound is missed",
 		Example: "  croftlock-experiment run tls-bad tls-storm --out reports", Args: cobra.MinimumNArgs(1),
@@ -96,6 +100,7 @@
 		}}
 }
 
+// demoCommand returns the command that runs the demo.
 func (p *program) demoCommand() *cobra.Command {
 	return &cobra.Command{Use: "demo", Short: "A discovery, three servers, one proxy and some clients, on loopback",
 		Example: "  croftlock-experiment demo", Args: cobra.NoArgs,
@@ -112,6 +117,7 @@
 	return c
 }
 
+// experimentNamed returns the experiment with the given name, or nil if there is none.
 func experimentNamed(name string) *experiment {
 	for i := range experiments {
 		if experiments[i].name == name {
--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -101,8 +101,8 @@
 
 // The platform's values for how a proxy receives endpoint lists.
 const (
-	discoveryPolled = "subscribe"
-	discoveryPushed = "automatic"
+	discoveryPolled = "subscribe" // the proxy polls discovery
+	discoveryPushed = "automatic" // an agent pushes lists to the proxy
 )
 
 // setDefaults sets the fields that an experiment left at zero.
@@ -115,10 +115,11 @@
 	setIfZero(&s.Listen, "127.0.0.1:0")
 }
 
-func setIfZero[T comparable](value *T, to T) {
+// setIfZero sets *value to defaultValue if it is the zero value of its type.
+func setIfZero[T comparable](value *T, defaultValue T) {
 	var unset T
 	if *value == unset {
-		*value = to
+		*value = defaultValue
 	}
 }
 
--- a/internal/testbed/experiment/member.go
+++ b/internal/testbed/experiment/member.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			p99 := detected[len(detected)-1]
+			p99 := detected[len(detected)-1] // the p99 of killRounds times is the longest of them
 			r.AddRow(table, n, killed, len(detected), detected[len(detected)/2], p99, recovered[len(recovered)/2])
 			r.Check(p99 < 3*time.Second, fmt.Sprintf("%d of %d killed: all know within 3 s", killed, n), p99)
 		}
@@ -110,7 +110,7 @@
 		if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
 			return fmt.Errorf("not all processes are alive after 30 s, before a pause of %v", pause)
 		}
-		unreachableBefore, accusedBefore := rig.logLines("to=unreachable", others...), rig.accusations(paused)
+		unreachableBefore, suspicionsBefore := rig.logLines("to=unreachable", others...), rig.suspicions(paused)
 		rig.Procs[paused].Signal(syscall.SIGSTOP)
 		time.Sleep(pause)
 		rig.Procs[paused].Signal(syscall.SIGCONT)
@@ -119,15 +119,15 @@
 			return fmt.Errorf("not all others see the process alive 20 s after a pause of %v", pause)
 		}
 		time.Sleep(2 * time.Second)
-		unreachable, accused := rig.logLines("to=unreachable", others...)-unreachableBefore, rig.accusations(paused)-accusedBefore
-		r.AddRow(table, pause, unreachable, refutedAfter, accused)
+		unreachable, suspicions := rig.logLines("to=unreachable", others...)-unreachableBefore, rig.suspicions(paused)-suspicionsBefore
+		r.AddRow(table, pause, unreachable, refutedAfter, suspicions)
 		if pause < 2*time.Second {
 			r.Check(unreachable == 0, fmt.Sprintf("a pause of %v removes no member", pause), unreachable)
 		} else {
 			r.Check(unreachable == 4, "a pause of 10 s is noticed by all", unreachable)
 		}
 		r.Check(refutedAfter < time.Second, fmt.Sprintf("%v: refuted within 1 s", pause), refutedAfter)
-		r.Check(accused == 0, fmt.Sprintf("%v: the paused process accuses no other", pause), accused)
+		r.Check(suspicions == 0, fmt.Sprintf("%v: the paused process accuses no other", pause), suspicions)
 	}
 	return nil
 }
@@ -140,8 +140,8 @@
 	return n
 }
 
-// accusations returns how often process i reported another member as suspect or unreachable.
-func (r *Rig) accusations(i int) int {
+// suspicions returns how often process i reported another member as suspect or unreachable.
+func (r *Rig) suspicions(i int) int {
 	return r.logLines("to=suspect", i) + r.logLines("to=unreachable", i)
 }
 
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -20,6 +20,7 @@
 	reportedBy       int                     // process that must report the cut link; -1 if none
 }
 
+// linkCuts lists the cuts of the experiment member-cut, in order.
 var linkCuts = []linkCut{
 	{"1 to 2", func(from, to int) bool { return from == 1 && to == 2 }, nil, 2},
 	{"1 inbound", func(_, to int) bool { return to == 1 }, nil, 1},
@@ -70,7 +71,8 @@
 	falselyUnreachable int           // members wrongly unreachable or gone, added up over all polls
 }
 
-// observe polls the view of one process of the majority for the duration of the cut.
+// observe polls the view of process 3, which is in the majority during every cut, for the duration
+// of the cut.
 func (c *linkCut) observe(rig *Rig) (seen cutObservation, err error) {
 	seen.reportedAfter = -1
 	for startedAt := time.Now(); time.Since(startedAt) < cutDuration; time.Sleep(50 * time.Millisecond) {
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	opsTimeout        = 2 * time.Second // of a client's wait for an answer
-	opsPersistent     = 40              // number of persistent clients
-	opsConnectionRate = 60.0            // short-lived connections a second
-	upgrades          = 20
-	upgradeTimeout    = 6 * time.Second        // for a new process to become ready
-	drainNoticeLimit  = 250 * time.Millisecond // from a suspension until the host receives no new requests
+	opsTimeout        = 2 * time.Second        // time limit of a client's wait for an answer
+	opsPersistent     = 40                     // number of persistent clients
+	opsConnectionRate = 60.0                   // short-lived connections a second
+	upgrades          = 20                     // hot restarts under load
+	upgradeTimeout    = 6 * time.Second        // time limit for a new process to become ready
+	drainNoticeLimit  = 250 * time.Millisecond // time after a suspension from which the host must receive no new requests
 )
 
 // opsUpgrade performs 20 hot restarts under load, then kills a process at each step of one.
@@ -85,6 +85,7 @@
 	return total
 }
 
+// deathTable is the title of the table with one row for each deathStep.
 const deathTable = "a process dies"
 
 // deathStep specifies which process dies at which step of a hot restart. Reports print it.
@@ -96,6 +97,7 @@
 	newAfterReady  deathStep = "new process, after it was ready"
 )
 
+// deathSteps lists the steps in the order in which opsUpgrade tests them.
 var deathSteps = []deathStep{newBeforeReady, oldBeforeReady, newAfterReady}
 
 // checkDeath kills a process at a step and reports the effects on clients. Clients that the killed
@@ -145,6 +147,7 @@
 	return serving, err
 }
 
+// suspendTable is the title of the table with one row for each suspension.
 const suspendTable = "a suspended host"
 
 // opsSuspend suspends and resumes a host three times, with list changes and a hot restart during each
--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -23,15 +23,16 @@
 	return c.runWithFaults()
 }
 
+// chaosTable is the title of the table with one row for each run.
 const chaosTable = "placements at a constant rate of clients"
 
 // chaosRun runs the experiment on a rig without faults, then on one with faults.
 type chaosRun struct {
 	env         *Env
 	report      *Report
-	duration    time.Duration
-	clientRate  float64 // clients a second
-	baselineP99 float64 // 99th percentile of the milliseconds until a placement, without faults
+	duration    time.Duration // of the load, and of the faults if any
+	clientRate  float64       // clients a second
+	baselineP99 float64       // 99th percentile of the milliseconds until a placement, without faults
 }
 
 // newRig starts five processes, of which the first three are replicas, and waits until all jobs have
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -41,9 +41,9 @@
 
 const (
 	ownerCostTable     = "cost of owners"
-	ownerCostProcesses = 6
-	ownerCostDrills    = 6 // jobs in addition to the one for suspended hosts
-	idleDuration       = 8 * time.Second
+	ownerCostProcesses = 6               // processes of a rig, replicas included
+	ownerCostDrills    = 6               // jobs in addition to the one for suspended hosts
+	idleDuration       = 8 * time.Second // period over which idle costs are measured
 )
 
 // membershipCPU returns the fraction of a core that an idle process with membership but without owners
@@ -67,6 +67,8 @@
 	disks  bool
 }
 
+// newRig starts a rig with the group's replicas. sections is added to the owners section of its
+// settings.
 func (g ownerGroup) newRig(e *Env, sections string) (*Rig, error) {
 	return NewRigWithOptions(e, RigOptions{Processes: ownerCostProcesses, Seed: 3, Key: sealKey, SettingsSections: ownersSection(g.voters, g.disks, sections)})
 }
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -22,6 +22,7 @@
 	expectedState string // part of diskOutcome.state; if empty, unreadable or member
 }
 
+// diskFaults lists the faults of the experiment owner-disk, in order.
 var diskFaults = []diskFault{
 	{"disk full for a while", nil, "member"},
 	{"killed at any moment", func(string, []byte) error { return nil }, "member"},
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// handovers shuts down or replaces one process after the other. It returns, sorted, the milliseconds for
+// handovers shuts down (how is SIGTERM) or replaces one process after the other. It returns, sorted, the milliseconds for
 // which each of their jobs had no owner.
 func handovers(e *Env, how string, disks bool) (samples, error) {
 	const jobs, rounds = 20, 8
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -24,6 +24,7 @@
 	listCall    callKind = "list"
 )
 
+// callKinds lists the commands from which operators choose at random.
 var callKinds = []callKind{suspendCall, resumeCall, listCall}
 
 // operatorCall is the input of an operator's call in the history.
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -22,13 +22,14 @@
 	inject func(l *lateOwner) error // makes the owner late and returns once it no longer is
 }
 
-// The cases of late owners. Their names contain lateDuration, the duration of the fault.
+// The cases of late owners. Their names contain lateDuration.
 var (
 	pausedCase = lateCase{"paused for 30 s between lease check and effect", (*lateOwner).pauseBeforeSending}
 	lateCases  = []lateCase{pausedCase, {"its datagrams delayed by 30 s", (*lateOwner).delayDatagrams},
 		{"inbound cut for 30 s", (*lateOwner).cutInbound}, {"outbound cut for 30 s", (*lateOwner).cutOutbound}}
 )
 
+// lateDuration is the time for which each case makes an owner late.
 const lateDuration = 30 * time.Second
 
 // lateOutcome is the outcome of a case.
@@ -164,8 +165,8 @@
 	}
 }
 
-// pauseBeforeSending pauses the process between the lease check and the effect of one job; its other jobs
-// pause at any point.
+// pauseBeforeSending sends the command late, with which the process stops itself between the lease
+// check and the effect of one job. Its other jobs stop at any point.
 func (l *lateOwner) pauseBeforeSending() error {
 	if _, err := l.rig.SendOwnerRequest(l.process, owneragent.Request{Command: "late", Argument: l.jobs[0]}); err != nil {
 		return err
--- a/internal/testbed/experiment/persistentclients.go
+++ b/internal/testbed/experiment/persistentclients.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxParallelConnects = 32                    // initial connects in flight
+	maxParallelConnects = 32                    // maximum number of initial connects in flight
 	busyRetryDelay      = 50 * time.Millisecond // delay before a rejected client retries
 	exchangeTimeout     = 5 * time.Second       // time limit for the answer to a line
 )
--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -35,7 +35,7 @@
 	Settings       string        // path of the settings file; empty means none
 	Cores          float64       // CPU limit in cores; default 1
 	MaxDescriptors int           // limit of open file descriptors; default 4096
-	MemoryMB       float64       // memory limit; default 192
+	MemoryMB       float64       // memory limit in MB; default 192
 	ConnectTimeout time.Duration // time limit of a connect; default 250 ms
 	Deadline       time.Duration // deadline of a request; default 2 s
 	Classes        []Class       // request classes; empty means one class of idempotent requests with Deadline
@@ -59,15 +59,15 @@
 
 // Process is a process that an experiment has started.
 type Process struct {
-	Addr string
+	Addr string // listen address, from the ready line
 	cmd  *exec.Cmd
-	dir  string
+	dir  string // folder of the configuration file
 
-	mu         sync.Mutex
-	log        []string
-	done       chan struct{}
-	exitErr    error
-	peakMemory int64 // peak resident memory in bytes, set when the process has ended
+	mu         sync.Mutex    // protects log
+	log        []string      // lines read so far
+	done       chan struct{} // closed once the process has ended
+	exitErr    error         // exit status, set before done is closed; nil means 0
+	peakMemory int64         // peak resident memory in bytes, set when the process has ended
 }
 
 // runningProcesses holds the started processes that have not ended; the keys are *Process.
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -63,13 +63,13 @@
 	if err != nil {
 		return nil, "", err
 	}
-	with := s.setup
-	with.Admin = admin
+	setup := s.setup
+	setup.Admin = admin
 	s.started++
 	if s.EarlierBuild != "" && s.started%2 == 0 {
-		with.Program = s.EarlierBuild
+		setup.Program = s.EarlierBuild
 	}
-	p, err := s.Proxy(with)
+	p, err := s.Proxy(setup)
 	return p, admin, err
 }
 
@@ -148,10 +148,10 @@
 }
 
 // hotRestart starts a new process that takes over and, once it is ready, stops the old one by
-// SIGTERM, as the platform does. readyIn is the time until the new process was ready, and leftIn
-// the time until the old one ended.
-func (s *proxySite) hotRestart() (readyIn, leftIn time.Duration, err error) {
-	started := time.Now()
+// SIGTERM, as the platform does. readyIn is the time until the new process was ready, and
+// exitedIn the time from SIGTERM until the old one ended.
+func (s *proxySite) hotRestart() (readyIn, exitedIn time.Duration, err error) {
+	beganAt := time.Now()
 	p, admin, err := s.startProcess()
 	if err != nil {
 		return 0, 0, err
@@ -159,9 +159,9 @@
 	if err = AwaitReady(admin, upgradeTimeout); err != nil {
 		return 0, 0, err
 	}
-	readyIn = time.Since(started)
-	old, startedAt := s.current, time.Now()
+	readyIn = time.Since(beganAt)
+	old, signaledAt := s.current, time.Now()
 	s.current, s.admin = p, admin
 	err = old.Stop()
-	return readyIn, time.Since(startedAt), err
+	return readyIn, time.Since(signaledAt), err
 }
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -16,9 +16,9 @@
 
 // Report is the outcome of an experiment.
 type Report struct {
-	Name      string    // name of the experiment
-	StartedAt time.Time `json:"Began"`
-	Took      time.Duration
+	Name      string        // name of the experiment
+	StartedAt time.Time     `json:"Began"`
+	Took      time.Duration // duration of the experiment
 	Tables    []Table
 	Values    []Value // values of the result line
 	Bounds    []Bound
@@ -85,10 +85,9 @@
 // AddValue adds a value to the result line.
 func (r *Report) AddValue(key string, x any) { r.Values = append(r.Values, Value{key, formatValue(x)}) }
 
-// Check adds a bound with its condition and measured value; kept reports whether the bound was
-// kept.
-func (r *Report) Check(kept bool, what string, measured any) {
-	r.Bounds = append(r.Bounds, Bound{what, kept, formatValue(measured)})
+// Check adds a bound with its condition, whether it was kept, and the measured value.
+func (r *Report) Check(kept bool, condition string, measured any) {
+	r.Bounds = append(r.Bounds, Bound{condition, kept, formatValue(measured)})
 }
 
 // OK reports whether the report has bounds and all of them were kept.
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -48,13 +48,13 @@
 	if begin, end = r.processEffect(f); begin != nil {
 		return begin, end, nil
 	}
-	which, change := linkEffect(f)
+	affects, change := linkEffect(f)
 	if change == nil {
 		return nil, nil, fmt.Errorf("fault %s can only be simulated", f.Kind)
 	}
 	set := func(on bool) func() error {
 		return func() error {
-			r.applyToLinks(which, func(l *fake.Link) { change(l, on) })
+			r.applyToLinks(affects, func(l *fake.Link) { change(l, on) })
 			return nil
 		}
 	}
@@ -64,7 +64,7 @@
 // processEffect returns the functions that start and end a fault of one process, or nil for other
 // kinds of faults.
 func (r *Rig) processEffect(f simulation.Fault) (begin, end func() error) {
-	nothing := func() error { return nil }
+	doNothing := func() error { return nil }
 	signal := func(s syscall.Signal) func() error {
 		return func() error { r.Procs[f.Process].Signal(s); return nil }
 	}
@@ -75,11 +75,11 @@
 	case "full":
 		return r.limitFileSize(f.Process, 0), r.limitFileSize(f.Process, unix.RLIM_INFINITY)
 	case "kill":
-		return kill, nothing
+		return kill, doNothing
 	case "restart":
 		return kill, func() error { return r.Start(f.Process) }
 	case "leave":
-		return func() error { return r.Procs[f.Process].Stop() }, nothing
+		return func() error { return r.Procs[f.Process].Stop() }, doNothing
 	}
 	return nil, nil
 }
@@ -95,9 +95,9 @@
 // slowJitter is the maximum delay that the fault "slow" adds to a datagram.
 const slowJitter = 100 * time.Millisecond
 
-// linkEffect returns which links a fault affects, and the function that starts (on) or ends it at a
-// link. Both are nil for faults that do not affect links.
-func linkEffect(f simulation.Fault) (which func(from, to int) bool, change func(l *fake.Link, on bool)) {
+// linkEffect returns a function that reports whether a fault affects a link, and one that starts (if
+// on is true) or ends the fault at a link. Both are nil for faults that do not affect links.
+func linkEffect(f simulation.Fault) (affects func(from, to int) bool, change func(l *fake.Link, on bool)) {
 	cut := func(l *fake.Link, on bool) { l.Cut = on }
 	all := func(int, int) bool { return true }
 	amount := func(on bool) float64 {
@@ -131,11 +131,11 @@
 	return nil, nil
 }
 
-// applyToLinks applies change to the links for which which returns true.
-func (r *Rig) applyToLinks(which func(from, to int) bool, change func(l *fake.Link)) {
+// applyToLinks applies change to the links for which selects returns true.
+func (r *Rig) applyToLinks(selects func(from, to int) bool, change func(l *fake.Link)) {
 	for i := range r.Procs {
 		for j := range r.Procs {
-			if i != j && which(i, j) {
+			if i != j && selects(i, j) {
 				r.Mesh.UpdateLink(i, j, change)
 			}
 		}
@@ -147,7 +147,7 @@
 	r.applyToLinks(func(from, to int) bool { return from == i || to == i }, func(l *fake.Link) { l.Cut = on })
 }
 
-// FillDisk returns the functions that simulate a full disk of process i and end that.
+// FillDisk returns the functions that start and end the simulation of a full disk at process i.
 func (r *Rig) FillDisk(i int) (begin, end func() error) {
 	return r.limitFileSize(i, 0), r.limitFileSize(i, unix.RLIM_INFINITY)
 }
--- a/internal/testbed/experiment/rigowners.go
+++ b/internal/testbed/experiment/rigowners.go
@@ -62,16 +62,16 @@
 	return owners, ""
 }
 
-// AwaitJobsOwned waits until at least jobs jobs have one owner each among all processes except the
+// AwaitJobsOwned waits until at least n jobs have one owner each among all processes except the
 // given ones. It returns the owner of each job.
-func (r *Rig) AwaitJobsOwned(jobs int, except ...int) (map[string]int, error) {
+func (r *Rig) AwaitJobsOwned(n int, except ...int) (map[string]int, error) {
 	var owners map[string]int
 	conflict := ""
 	if _, ok := AwaitCondition(recoveryTimeout, func() bool {
 		owners, conflict = r.JobOwners(except...)
-		return len(owners) >= jobs
+		return len(owners) >= n
 	}); !ok {
-		return nil, fmt.Errorf("after %v %d of %d jobs have an owner; last conflict: %q", recoveryTimeout, len(owners), jobs, conflict)
+		return nil, fmt.Errorf("after %v %d of %d jobs have an owner; last conflict: %q", recoveryTimeout, len(owners), n, conflict)
 	}
 	return owners, nil
 }
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -17,15 +17,16 @@
 // rulesCase is one case of the experiment rules-agree.
 type rulesCase struct {
 	name          string
-	changes       bool   // whether operators propose changes
-	faults        bool   // whether a fault starts about every 2 s
-	injectedFault string // fault in the program that the checker must detect; empty means none
-	duration      time.Duration
+	changes       bool          // whether operators propose changes
+	faults        bool          // whether a fault starts about every 2 s
+	injectedFault string        // fault in the program that the checker must detect; empty means none
+	duration      time.Duration // of the load
 
 	// check checks the bounds of this case. baseline is the outcome without changes.
 	check func(r *Report, o, baseline *rulesOutcome)
 }
 
+// rulesCases lists the cases in the order in which rulesAgree runs them. The first is the baseline.
 var rulesCases = []rulesCase{
 	{name: "without changes", duration: 20 * time.Second, check: func(*Report, *rulesOutcome, *rulesOutcome) {}},
 	{name: "changes", changes: true, duration: 40 * time.Second, check: checkWithoutFaults},
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -13,7 +13,7 @@
 
 // cutOutcome is the outcome of the repetitions of one fault.
 type cutOutcome struct {
-	played          int
+	completed       int             // repetitions completed so far
 	activationTimes []time.Duration // from the proposal until its reply was read after the recovery
 	recoveryTimes   []time.Duration // from the end of the fault until all processes applied one version
 	unknown         int             // changes with an unknown outcome
@@ -24,13 +24,13 @@
 type cutFault struct {
 	name        string
 	repetitions int
-	kind        string // kind of simulation.Fault; awaitFaultEnd performs pause and kill
-	duration    time.Duration
+	kind        string        // kind of simulation.Fault; awaitFaultEnd performs pause and kill
+	duration    time.Duration // zero for kill, which ends with the restart
 }
 
 // cutSuite specifies the settings of a rig and the faults that are injected into it.
 type cutSuite struct {
-	name, sections string
+	name, sections string // sections of the settings file besides log and membership
 	faults         []cutFault
 }
 
@@ -47,6 +47,7 @@
 	}
 }
 
+// rulesCutTable is the title of the table with one row for each fault.
 const rulesCutTable = "a change beside each fault; five processes, three replicas, agree_within 1 s"
 
 // rulesCut proposes a change during each cut, pause and death of a process. It checks that the
@@ -83,7 +84,7 @@
 	outcome := g.finish()
 	_, longest := outcome.overlaps()
 	for i, o := range outcomes {
-		r.AddRow(rulesCutTable, s.faults[i].name, o.played, percentilesText(o.activationTimes), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.recoveryTimes), longest, outcome.unanswered)
+		r.AddRow(rulesCutTable, s.faults[i].name, o.completed, percentilesText(o.activationTimes), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.recoveryTimes), longest, outcome.unanswered)
 	}
 	r.Check(longest <= maxVersionOverlap, s.name+": no decision by an older version for longer than agree_within after the first by a newer one", longest)
 	r.Check(outcome.unanswered == 0, s.name+": each request gets an answer", outcome.unanswered)
@@ -95,7 +96,7 @@
 func (g *rulesRig) repeatFault(f cutFault) (*cutOutcome, error) {
 	o := &cutOutcome{}
 	rng := rand.New(rand.NewPCG(7, uint64(len(f.name))))
-	for ; o.played < f.repetitions; o.played++ {
+	for ; o.completed < f.repetitions; o.completed++ {
 		if err := g.injectOnce(f, o, rng); err != nil {
 			return nil, err
 		}
@@ -106,7 +107,7 @@
 // injectOnce injects a fault into a random process, proposes a change while the fault lasts, and
 // waits until all processes apply the same version again.
 func (g *rulesRig) injectOnce(f cutFault, o *cutOutcome, rng *rand.Rand) error {
-	victim, via, err := g.pickVictim(f, o.played, rng)
+	victim, via, err := g.pickVictim(f, o.completed, rng)
 	if err != nil {
 		return err
 	}
@@ -119,7 +120,7 @@
 		return err
 	}
 	startedAt, answer := time.Now(), make(chan string, 1)
-	id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, version, o.played)
+	id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, version, o.completed)
 	change := rules.EncodeProposal(rules.NewOperatorsChange(&rules.Version{ExcludedHosts: []string{fmt.Sprint("nobody", version, f.kind)}}, version, id))
 	go func() { answer <- g.query(via, change) }()
 	if err := g.awaitFaultEnd(f, victim, startedAt, rng); err != nil {
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// pause stops process i for d by SIGSTOP. Clients use it again 300 ms after its end.
+// pause stops process i for d by SIGSTOP. Clients use it again 300 ms after the pause.
 func (g *rulesRig) pause(i int, d time.Duration) {
 	g.down[i].Store(true)
 	g.Procs[i].Signal(syscall.SIGSTOP)
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -23,7 +23,7 @@
 	owner.Flags().IntVar(&o.firstSeed, "first", 1, "first seed")
 	owner.Flags().IntVar(&o.seeds, "seeds", 2000, "number of seeds")
 	owner.Flags().IntVar(&o.maxPrinted, "show", 1, "number of failures to print with their plans")
-	owner.Flags().StringVar(&o.plantedFault, "plant", "", "fault to inject into the program: skip-sync, eager, from-answer or forget")
+	owner.Flags().StringVar(&o.injectedFault, "plant", "", "fault to inject into the program: skip-sync, eager, from-answer or forget")
 	root.AddCommand(owner)
 	return root
 }
@@ -32,21 +32,21 @@
 type simOptions struct {
 	firstSeed, seeds int    // the first seed, and the number of seeds
 	maxPrinted       int    // number of failures to print with their plans
-	plantedFault     string // key of plantedFaults; a fault that the simulation must detect
+	injectedFault    string // key of injectableFaults; a fault that the simulation must detect
 }
 
 // run simulates the plans on all cores and prints the totals. It returns an error if a plan failed.
 func (o *simOptions) run(out io.Writer) error {
-	plant, known := plantedFaults[o.plantedFault]
+	inject, known := injectableFaults[o.injectedFault]
 	if !known {
-		return fmt.Errorf("unknown fault %q; known faults are skip-sync, eager, from-answer and forget", o.plantedFault)
+		return fmt.Errorf("unknown fault %q; known faults are skip-sync, eager, from-answer and forget", o.injectedFault)
 	}
 	startedAt := time.Now()
 	totals := simTotals{out: out, maxPrinted: o.maxPrinted}
 	parallel.ForEach(o.firstSeed, o.firstSeed+o.seeds, func(i int) {
 		seed := uint64(i)
 		c := simulation.Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
-		plant(&c)
+		inject(&c)
 		totals.simulate(c)
 	})
 	totals.print(o, time.Since(startedAt))
@@ -61,10 +61,10 @@
 	out        io.Writer
 	maxPrinted int // number of failures to print
 
-	mu          sync.Mutex
+	mu          sync.Mutex     // protects the fields below
 	totals      simulation.Run // sums of the counts, and all owner gaps
-	failed      int
-	firstFailed uint64 // smallest seed that failed
+	failed      int            // number of plans that failed
+	firstFailed uint64         // smallest seed that failed; 0 if none has
 }
 
 // simulate simulates one plan and adds its result.
@@ -111,9 +111,9 @@
 	}
 }
 
-// plantedFaults holds the faults that can be injected into the program's decisions, by the value of
+// injectableFaults holds the faults that can be injected into the program's decisions, by the value of
 // --plant.
-var plantedFaults = map[string]func(c *simulation.Config){
+var injectableFaults = map[string]func(c *simulation.Config){
 	"":            func(*simulation.Config) {},
 	"skip-sync":   func(c *simulation.Config) { c.Disks, c.SkipSync = true, true },
 	"eager":       func(c *simulation.Config) { c.Disks, c.ProgramFaults.SkipAbstention = false, true },
--- a/internal/testbed/experiment/soak/clientconnection.go
+++ b/internal/testbed/experiment/soak/clientconnection.go
@@ -33,7 +33,7 @@
 	Open         End = ""             // the connection has not ended
 	Migrated     End = "MOVE"         // the client was migrated
 	Finished     End = "BYE"          // its host ended it with BYE
-	Closed       End = "close"        // closed by the proxy without a line
+	Closed       End = "close"        // closed by the proxy without MOVE or BYE, also after BUSY or ERR
 	Reset        End = "reset"        // reset by the proxy
 	ClientClosed End = "client_close" // closed by the client
 )
@@ -63,7 +63,7 @@
 	Request          Request
 	SplitRequestLine bool // whether SendRequest sends the request line in two parts
 	conn             net.Conn
-	ended            chan struct{}
+	ended            chan struct{} // closed when the connection has ended
 
 	mu              sync.Mutex // protects the fields below
 	outcome         Outcome
--- a/internal/testbed/experiment/soak/faults.go
+++ b/internal/testbed/experiment/soak/faults.go
@@ -88,8 +88,10 @@
 	return time.Duration(least+rng.IntN(most-least)) * time.Millisecond
 }
 
+// randomNode returns a random proxy.
 func (f *Fleet) randomNode(rng *rand.Rand) *Node { return f.nodes[rng.IntN(len(f.nodes))] }
 
+// randomHost returns a random host.
 func (f *Fleet) randomHost(rng *rand.Rand) *Host {
 	all := f.Hosts()
 	return all[rng.IntN(len(all))]
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -24,12 +24,12 @@
 
 // Options configures a run.
 type Options struct {
-	Seed            uint64 // of all random choices
-	Proxies         int
-	Hosts           int
+	Seed            uint64        // of all random choices
+	Proxies         int           // number of proxies
+	Hosts           int           // number of upstream hosts
 	Length          time.Duration // time in which clients connect and faults start
 	Rate            float64       // requests per second at each proxy
-	FaultCount      int           // faults, at random times during Length
+	FaultCount      int           // number of faults, which start at random times during Length
 	FailSystemCalls bool          // makes system calls of the proxies fail; the program must call ExecBehindShim
 	SkewClocks      bool          // changes each process's wall clock, also while it runs; the program must call SkewClock
 	LogDir          string        // directory for the processes' logs at debug level; if empty, no logs are saved
--- a/internal/testbed/experiment/soak/host.go
+++ b/internal/testbed/experiment/soak/host.go
@@ -107,6 +107,7 @@
 	}
 }
 
+// accept serves each connection to l on its own goroutine until accepting fails.
 func (h *Host) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
--- a/internal/testbed/experiment/soak/stallmeter.go
+++ b/internal/testbed/experiment/soak/stallmeter.go
@@ -39,4 +39,5 @@
 	return m.longest
 }
 
+// stop ends the measurement. It may be called once.
 func (m *stallMeter) stop() { close(m.end) }
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -15,6 +15,7 @@
 // asProgram is the environment variable that makes the test binary run as the proxy program.
 const asProgram = "CROFTLOCK_TEST_RUN"
 
+// TestMain runs the tests, or the proxy program if asProgram is set.
 func TestMain(m *testing.M) {
 	ExecBehindShim()
 	SkewClock()
@@ -31,6 +32,7 @@
 	deadline time.Duration // of every request
 }
 
+// newShutdownTest starts three hosts and a proxy whose requests have the given deadline.
 func newShutdownTest(t *testing.T, deadline time.Duration) *shutdownTest {
 	t.Helper()
 	hosts, err := fake.NewHosts("a", "s0", "s1", "s2")
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -29,6 +29,7 @@
 	costRelayPlain
 )
 
+// costVariants lists the variants that tlsCost measures.
 var costVariants = []costVariant{
 	costPlain:          {name: "plain"},
 	costFull:           {name: "full, x25519mlkem768", secure: true, extraSettings: []string{"(reuse off)", "(key-exchange x25519mlkem768)"}},
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -15,17 +15,17 @@
 	upstreams  *upstreams
 	proxy      *Process
 	persistent *persistentClients
-	shortLived *answerCounts
-	trust      string // path of the proxy's CA bundle
+	shortLived *answerCounts // answers to the short-lived clients
+	trust      string        // path of the proxy's CA bundle
 }
 
 const (
 	rotationPersistent   = 400 // persistent connections
 	rotationRate         = 200 // new connections per second
 	rotationDuration     = 30 * time.Second
-	rotationTimeout      = 2 * time.Second
-	rotationStepInterval = 4500 * time.Millisecond
-	reloadLimit          = 2 * time.Second // time until the proxy must use new files
+	rotationTimeout      = 2 * time.Second         // deadline of a request, and how long its client waits
+	rotationStepInterval = 4500 * time.Millisecond // between the starts of two replacements
+	reloadLimit          = 2 * time.Second         // time until the proxy must use new files
 	rotationTable        = "replacements"
 )
 
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -10,10 +10,10 @@
 
 const (
 	stayingClients, migratingClients = 300, 500
-	stormTimeout                     = 4 * time.Second
-	hostRate                         = 200 // full handshakes per second with one host
-	stormBurst                       = 50 * time.Millisecond
-	reconnectLimit                   = 8 * time.Second
+	stormTimeout                     = 4 * time.Second       // deadline of the proxy's request class
+	hostRate                         = 200                   // full handshakes per second with one host
+	stormBurst                       = 50 * time.Millisecond // handshakes that a burst may contain, as the time for which the rate allows them
+	reconnectLimit                   = 8 * time.Second       // for all clients to be connected again
 )
 
 // stormCase specifies how the clients of the drained server reconnect.
@@ -28,6 +28,7 @@
 // reconnectDelay is the operators' figure for the delay before clients reconnect.
 var reconnectDelay = delayRange{50 * time.Millisecond, 1700 * time.Millisecond}
 
+// stormCases lists the cases in the order in which tlsStorm runs them.
 var stormCases = []stormCase{
 	{name: "full", extraSettings: " (reuse off)", reconnectAfter: reconnectDelay, bounds: true},
 	{name: "full, all at once", extraSettings: " (reuse off)"},
--- a/internal/testbed/fake/client.go
+++ b/internal/testbed/fake/client.go
@@ -11,7 +11,7 @@
 
 // Client is a client's connection to a proxy.
 type Client struct {
-	ID     string
+	ID     string // request ID
 	conn   net.Conn
 	reader *bufio.Reader
 }
--- a/internal/testbed/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -12,10 +12,10 @@
 
 // Fault describes a TLS fault of a server and the reason that a proxy must log for it.
 type Fault struct {
-	Kind   string
+	Kind   string // name of the fault in reports
 	Reason string // reason that the proxy logs; empty if it logs none
-	// CompletesHandshake reports whether the server completes the handshake and then breaks the
-	// connection without reading. Then the proxy may send its request; otherwise no byte of a
+	// If CompletesHandshake is true, the server completes the handshake and then breaks the
+	// connection without reading, so the proxy may send its request. Otherwise no byte of a
 	// request may reach the server.
 	CompletesHandshake bool
 	TLS12              bool                                 // the server and the proxy's settings use TLS 1.2 instead of TLS 1.3
@@ -43,10 +43,13 @@
 	}
 }
 
+// trustedAuthority returns the authority that the proxy trusts.
 func trustedAuthority(p *PKI) *Authority { return p.Trusted }
 
+// otherAuthority returns the authority that the proxy does not trust.
 func otherAuthority(p *PKI) *Authority { return p.Other }
 
+// defaultSpec returns the spec of a valid server certificate.
 func defaultSpec(*PKI) certs.Spec { return certs.Spec{} }
 
 // withModification returns a configFunc that applies change to the configuration that base returns.
@@ -118,6 +121,7 @@
 	}
 }
 
+// selfSigned returns a configuration with a valid certificate that is signed by its own key.
 func selfSigned(p *PKI) (*tls.Config, error) {
 	now := time.Now()
 	pair, err := certs.Issue(nil, certs.Spec{Name: "me", Hosts: []string{p.ServerName}, Server: true, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour)})
@@ -167,7 +171,7 @@
 // truncatingConn fails writes once it has written bytesLeft bytes.
 type truncatingConn struct {
 	net.Conn
-	bytesLeft int // that Write still accepts
+	bytesLeft int // number of bytes that Write still accepts
 }
 
 // Write writes p, or the bytes left of it, in which case it returns io.ErrClosedPipe.
--- a/internal/testbed/fake/pki.go
+++ b/internal/testbed/fake/pki.go
@@ -15,21 +15,21 @@
 type PKI struct {
 	Trusted    *Authority
 	Other      *Authority
-	ServerName string      // that the proxy expects in a server's certificate
+	ServerName string      // name that the proxy expects in a server's certificate
 	Revoked    *certs.Pair // issued by Trusted and listed in CRL
 }
 
 // NewPKI returns a PKI whose servers have the given name.
 func NewPKI(name string) (*PKI, error) {
 	p := &PKI{ServerName: name}
-	var err, err2, err3 error
-	p.Trusted, err = NewAuthority("trusted")
-	p.Other, err2 = NewAuthority("other")
-	if err != nil || err2 != nil {
-		return nil, fmt.Errorf("trusted authority: %v; other authority: %v", err, err2)
+	var trustedErr, otherErr, revokedErr error
+	p.Trusted, trustedErr = NewAuthority("trusted")
+	p.Other, otherErr = NewAuthority("other")
+	if trustedErr != nil || otherErr != nil {
+		return nil, fmt.Errorf("trusted authority: %v; other authority: %v", trustedErr, otherErr)
 	}
-	p.Revoked, err3 = p.Trusted.Issue(certs.Spec{Hosts: []string{name}})
-	return p, err3
+	p.Revoked, revokedErr = p.Trusted.Issue(certs.Spec{Hosts: []string{name}})
+	return p, revokedErr
 }
 
 // CRL returns a revocation list that contains the revoked certificate and is valid until the given
