--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -18,6 +18,7 @@
 	late         int     // answers more than latenessTolerance after the deadline
 }
 
+// newAnswerCounts returns counts that are all 0.
 func newAnswerCounts() *answerCounts { return &answerCounts{byKind: map[string]int{}} }
 
 // add counts the answer to a request whose client waits for at most wait. The time of kind NONE, no
--- a/internal/testbed/experiment/member.go
+++ b/internal/testbed/experiment/member.go
@@ -119,15 +119,15 @@
 			return fmt.Errorf("not all others see the process alive 20 s after a pause of %v", pause)
 		}
 		time.Sleep(2 * time.Second)
-		unreachable, suspicions := rig.logLines("to=unreachable", others...)-unreachableBefore, rig.suspicions(paused)-suspicionsBefore
-		r.AddRow(table, pause, unreachable, refutedAfter, suspicions)
+		unreachable, suspicionCount := rig.logLines("to=unreachable", others...)-unreachableBefore, rig.suspicions(paused)-suspicionsBefore
+		r.AddRow(table, pause, unreachable, refutedAfter, suspicionCount)
 		if pause < 2*time.Second {
 			r.Check(unreachable == 0, fmt.Sprintf("a pause of %v removes no member", pause), unreachable)
 		} else {
 			r.Check(unreachable == 4, "a pause of 10 s is noticed by all", unreachable)
 		}
 		r.Check(refutedAfter < time.Second, fmt.Sprintf("%v: refuted within 1 s", pause), refutedAfter)
-		r.Check(suspicions == 0, fmt.Sprintf("%v: the paused process accuses no other", pause), suspicions)
+		r.Check(suspicionCount == 0, fmt.Sprintf("%v: the paused process accuses no other", pause), suspicionCount)
 	}
 	return nil
 }
--- a/internal/testbed/experiment/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -30,7 +30,8 @@
 	// Fleets from this size on are simulated once and for a shorter time, since each step takes longer.
 	largeFleet         = 300
 	largeFleetDuration = 20 * simulation.Sec
-	// undetected is the detection time of a death that too few members learnt of.
+	// undetected is the detection time of a death that fewer than 99 % of the survivors saw within
+	// the 15 s that the simulation waits.
 	undetected = simulation.Time(1 << 62)
 )
 
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// handovers shuts down (how is SIGTERM) or replaces one process after the other. It returns, sorted, the milliseconds for
-// which each of their jobs had no owner.
+// handovers shuts down (how is SIGTERM) or replaces one process after the other. It returns, sorted,
+// the milliseconds for which each of their jobs had no owner.
 func handovers(e *Env, how string, disks bool) (samples, error) {
 	const jobs, rounds = 20, 8
 	r, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, SettingsSections: ownersSection(3, disks, fmt.Sprintf("(drill %d)", jobs))})
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -63,13 +63,13 @@
 	if err != nil {
 		return nil, "", err
 	}
-	setup := s.setup
-	setup.Admin = admin
+	processSetup := s.setup
+	processSetup.Admin = admin
 	s.started++
 	if s.EarlierBuild != "" && s.started%2 == 0 {
-		setup.Program = s.EarlierBuild
+		processSetup.Program = s.EarlierBuild
 	}
-	p, err := s.Proxy(setup)
+	p, err := s.Proxy(processSetup)
 	return p, admin, err
 }
 
