--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -22,7 +22,8 @@
 	EarlierBuild string // path of an earlier build that hot restarts alternate with; empty means none
 	Self         string // path of croftlock-experiment, for processes that run its relay or faults
 	Dir          string // folder for files, removed after the experiment
-	Logf         func(format string, args ...any)
+	// Logf logs the progress of the experiment.
+	Logf func(format string, args ...any)
 }
 
 // Setup is the configuration, settings and environment of a proxy process. Zero values mean the
--- a/internal/testbed/experiment/rigplan_test.go
+++ b/internal/testbed/experiment/rigplan_test.go
@@ -11,7 +11,7 @@
 	plan := []simulation.Fault{{Kind: "cut", StartMS: 100, DurationMS: 2000, Process: 1}, {Kind: "loss", StartMS: 5, DurationMS: 7, Amount: 0.25}}
 	got, err := ParsePlan("plan", []byte(FormatPlan(plan)), 3)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ParsePlan(%q): %v", FormatPlan(plan), err)
 	}
 	if len(got) != len(plan) || got[0] != plan[0] || got[1] != plan[1] {
 		t.Errorf("ParsePlan(%q) = %v, want %v", FormatPlan(plan), got, plan)
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -12,9 +12,9 @@
 // Node is one proxy. Its processes succeed each other at one address; during a hot restart two of
 // them run.
 type Node struct {
-	number          int
+	number          int // index in Fleet.nodes
 	fleet           *Fleet
-	setup           experiment.Setup
+	setup           experiment.Setup   // setup of each process; start adds Discovery, InitialList and Admin
 	discovery       [2]*fake.Discovery // a reconfiguration switches from one to the other
 	activeDiscovery int                // index of the discovery service in the configuration
 
--- a/internal/testbed/experiment/soak/process.go
+++ b/internal/testbed/experiment/soak/process.go
@@ -13,7 +13,7 @@
 
 // proxyProcess is one process of a proxy, from its start to its end.
 type proxyProcess struct {
-	name      string
+	name      string // names of the proxy and of the process in it, such as n3.0
 	node      *Node
 	admin     string // address of the admin interface
 	proc      *experiment.Process
@@ -126,6 +126,7 @@
 
 // stop sends SIGTERM and waits for the process's end. After KillAfter, the earliest time at which
 // the platform may do so, it sends SIGKILL; slack extends this time by the stalls of the machine.
+// longest is the longest deadline of the proxy's classes.
 func (p *proxyProcess) stop(longest, slack time.Duration) {
 	p.mu.Lock()
 	p.stoppedAt = time.Now()
--- a/internal/testbed/experiment/soak/suspensions.go
+++ b/internal/testbed/experiment/soak/suspensions.go
@@ -65,8 +65,8 @@
 	delete(n.suspending, host)
 }
 
-// callOperator calls an operator's action, suspend or resume, at the current process. It reports
-// whether the call succeeded, and makes none if there is no process or the process is stopping.
+// callOperator makes an operator's call, suspend or resume, at the current process. It reports whether
+// the call succeeded. If there is no process or the process is stopping, it makes no call.
 func (n *Node) callOperator(host, action string) bool {
 	process := n.Current()
 	if process == nil || process.isStopping() {
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -17,9 +17,9 @@
 // faultCase is one fault of the server or of the proxy's own files, with the reason that the proxy
 // must log.
 type faultCase struct {
-	server fake.Fault
-	own    ownFault
-	reason string
+	server fake.Fault // fault of the server; if own is set, it only names the case
+	own    ownFault   // fault of the proxy's own files; noOwnFault if there is none
+	reason string     // reason that the proxy must log; empty if it must log none
 }
 
 // ownFault is a fault of the proxy's own files.
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -35,16 +35,16 @@
 	server *http.Server
 	addr   string
 
-	mu         sync.Mutex // protects the fields below
-	rev        int64
+	mu         sync.Mutex       // protects the fields below
+	rev        int64            // current revision
 	hosts      []Entry          // in the order in which they were added
 	changedAt  map[string]int64 // revision of the last change, by host ID
 	nextChange chan struct{}    // closed at the next change
-	down       bool
-	silenceEnd chan struct{} // while not nil, calls wait until it is closed and then fail without an answer
-	delay      time.Duration // before every answer
-	calls      int           // number of calls received so far
-	onWritten  func(List)    // see OnWritten
+	down       bool             // whether every call fails with status 503
+	silenceEnd chan struct{}    // while not nil, calls wait until it is closed and then fail without an answer
+	delay      time.Duration    // before every answer
+	calls      int              // number of calls received so far
+	onWritten  func(List)       // see OnWritten
 }
 
 // OnWritten makes the service call f with each list that it has written to a caller, after which
