--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -60,7 +60,7 @@
 
 // NewFleet starts hosts, discovery services and proxies. Hosts and proxies listen at addresses that
 // no other process uses. If a proxy does not start, NewFleet returns the fleet with the error, and
-// the caller must close it.
+// the caller must close it. If a host does not start, the returned fleet is nil.
 func NewFleet(env *experiment.Env, opt Options) (*Fleet, error) {
 	fleetCount++
 	f := &Fleet{options: opt, env: env, record: NewRecord(), stallMeter: newStallMeter(),
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -144,30 +144,30 @@
 }
 
 // start starts the proxy or the relay with the variant's settings in front of the only server.
-func (v costVariant) start(e *Env, f *upstreams) (*Process, error) {
+func (v costVariant) start(e *Env, u *upstreams) (*Process, error) {
 	if v.relay {
-		return v.startRelay(e, f)
+		return v.startRelay(e, u)
 	}
 	settings := ""
 	if v.secure {
 		var err error
-		if settings, err = f.settings(append(v.extraSettings, "(handshakes (cpu 100%) (rate 5000) (host-rate 5000) (burst 1s))")...); err != nil {
+		if settings, err = u.settings(append(v.extraSettings, "(handshakes (cpu 100%) (rate 5000) (host-rate 5000) (burst 1s))")...); err != nil {
 			return nil, err
 		}
 	}
-	return e.Proxy(Setup{Name: "cost", Discovery: f.discovery.Addr(), InitialList: f.discovery.List(), Settings: settings})
+	return e.Proxy(Setup{Name: "cost", Discovery: u.discovery.Addr(), InitialList: u.discovery.List(), Settings: settings})
 }
 
 // startRelay starts the relay as a process of its own.
-func (v costVariant) startRelay(e *Env, f *upstreams) (*Process, error) {
-	args := []string{"relay", "--to", f.servers[0].Addr(), "--name", "s1.lab"}
+func (v costVariant) startRelay(e *Env, u *upstreams) (*Process, error) {
+	args := []string{"relay", "--to", u.servers[0].Addr(), "--name", "s1.lab"}
 	if v.secure {
-		config := f.config(0)
+		config := u.config(0)
 		config.ClientAuth = tls.NoClientCert // the relay has no certificate
-		f.servers[0].SetTLS(config)
-		args = append(args, "--trust", filepath.Join(f.dir, "trust.pem"))
+		u.servers[0].SetTLS(config)
+		args = append(args, "--trust", filepath.Join(u.dir, "trust.pem"))
 	}
-	return startCommand(f.dir, exec.Command(e.Self, args...), nil, readyLine)
+	return startCommand(u.dir, exec.Command(e.Self, args...), nil, readyLine)
 }
 
 // openOne opens one connection. It returns an error if the request is not served.
