--- a/internal/testbed/experiment/tlsstormreport.go
+++ b/internal/testbed/experiment/tlsstormreport.go
@@ -65,7 +65,7 @@
 // down, or nil.
 func (s *storm) checkBounds(r *Report, result *stormResult, ended error) {
 	if !s.ownCore {
-		r.Remarks = append(r.Remarks, "fewer than three cores: the fakes share the proxy's core, and its delays include theirs")
+		r.Remarks = append(r.Remarks, "fewer than three cores: the stand-ins run on the proxy's core, and its delays include theirs")
 	}
 	filesTaken := len(s.proxy.LogLines("event=tls_files_taken"))
 	p99Before, p99During := result.latenciesBefore.quantile(0.99), result.latenciesDuring.quantile(0.99)
