--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -7,11 +7,12 @@
 )
 
 // defaultRetryAfter is the Retry-After of a rejection if the time at which capacity returns is
-// unknown. It is long enough for the front to route the clients of a proxy that is shutting down to
-// other proxies.
+// unknown. It is so long that the clients of a proxy that is shutting down are routed to other
+// proxies by then.
 const defaultRetryAfter = 500 * time.Millisecond
 
-// admission limits the downstreams of all processes of this proxy. Each downstream may need two
+// admission limits the downstreams, the clients' connections, of this proxy. During a hot restart a
+// proxy consists of two processes, and the limit is for both together. Each downstream may need two
 // file descriptors, and running out of them would break connections that are already open.
 type admission struct {
 	limit                   int // downstreams of this process and the other one together
@@ -32,7 +33,7 @@
 func (a *admission) release() { a.downstreams-- }
 
 // Admit reserves capacity for one more downstream, and reports whether there was any.
-// DownstreamEnded releases it. class is the class of the downstream's request, for the metrics.
+// DownstreamEnded releases the capacity. class is the class of the downstream's request, for the metrics.
 func (c *Core) Admit(class string) bool {
 	if c.admission.acquire() {
 		return true
@@ -53,11 +54,11 @@
 func (c *Core) SetOtherProcessDownstreams(n int) { c.admission.otherProcessDownstreams = n }
 
 // DefaultRetryAfter returns the Retry-After for a client that is rejected for lack of capacity or
-// time. It returns 0 if clients read no Retry-After.
+// time. It returns 0, which means that none is sent, if clients read no Retry-After.
 func (c *Core) DefaultRetryAfter() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
 
-// boundedRetryAfter returns after, limited to the settings' maximum. It returns 0 if clients read
-// no Retry-After.
+// boundedRetryAfter returns after, limited to the settings' maximum. It returns 0, which
+// means that none is sent, if clients read no Retry-After.
 func (c *Core) boundedRetryAfter(after time.Duration) time.Duration {
 	if !c.opt.Settings.SendsRetryAfter {
 		return 0
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -14,9 +14,9 @@
 // the process's start.
 const adoptionRetryDelay = 200 * time.Millisecond
 
-// adopt restores a connection that was open at a host before this proxy's start. The connection
-// belongs to that host, so the balancer chooses none; it is notified once the connection is
-// established. The request fails if the host is unknown or a rule forbids the attempt.
+// adopt restores a connection that was open at the host with this ID before this proxy's start. Only
+// that host can continue the connection, so the balancer chooses no host. It is notified once the
+// connection is established. The request fails if the host is unknown or a rule forbids the attempt.
 func (r *Request) adopt(hostID string) {
 	h := r.core.hosts.byID[hostID]
 	if h == nil {
@@ -25,7 +25,7 @@
 		return
 	}
 	r.adopted, r.pool = true, h.pool
-	r.record.Adopted, r.record.MaxAttempts = true, math.MaxInt
+	r.record.Adopted, r.record.MaxAttempts = true, math.MaxInt // no limit of attempts
 	if rule := r.record.CheckAttempt(r.core.loop.Now(), h.invariantHost()); rule != invariant.None {
 		r.attemptBlocked(rule, h)
 		r.fail(metrics.Failed, blockedByInvariant)
@@ -34,8 +34,9 @@
 	r.beginAttempt(h, 0, r.deadline)
 }
 
-// adoptionEnded retries a failed adoption after adoptionRetryDelay if its host cannot have acted on
-// it and its client still waits then. Otherwise the request fails.
+// adoptionEnded handles the end of an adopted request's attempt that was not established. It retries
+// the adoption after adoptionRetryDelay if the host cannot have acted on the attempt, and if the
+// client still waits then. Otherwise the request fails. A request that has its answer is removed.
 func (a *upstreamRequest) adoptionEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	if r.answered() {
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -10,11 +10,13 @@
 )
 
 // overdueGrace is how long after a request's deadline the core still waits for the balancer's
-// answer. It lies within the slack that the platform allows for answers.
+// answer. An answer that comes so soon after the deadline still counts, since the invariants allow
+// 500 ms (AnswerInTime).
 const overdueGrace = 15 * time.Millisecond
 
 // rejectOrFail answers a request that gets no further attempt. It rejects the request if a retry by
-// the client is harmless, and fails it otherwise. after is the Retry-After of a rejection.
+// the client is harmless, and fails it otherwise. after is the
+// Retry-After of a rejection, 0 for none.
 func (r *Request) rejectOrFail(after time.Duration, reason localReplyReason) {
 	if !r.record.MayReject() {
 		r.fail(metrics.Failed, reason)
@@ -23,7 +25,7 @@
 	r.reject(after, reason)
 }
 
-// reject answers the client that a retry is harmless, with after as Retry-After. It does nothing if
+// reject answers the client that a retry is harmless, with after as Retry-After, 0 for none. It does nothing if
 // the request has its answer.
 func (r *Request) reject(after time.Duration, reason localReplyReason) {
 	if r.answered() {
@@ -74,7 +76,8 @@
 }
 
 // failUnresponsive fails a request that the balancer did not answer in time, or whose handling
-// panicked.
+// panicked, and notifies the balancer that nobody waits for it. It does nothing if the request has
+// its answer.
 func (r *Request) failUnresponsive() {
 	if r.answered() {
 		return
@@ -100,7 +103,8 @@
 	r.core.notify(nil, r.pool, func(now balancer.Time, m Balancer) { m.ClientLeft(now, r.attributes.ID) })
 }
 
-// cancel ends the attempt with this number, unless it is established or has ended.
+// cancel ends the attempt with this number, which counts the attempts in the request's present pool
+// from 0. It does nothing if that attempt is established or has ended.
 func (r *Request) cancel(attempt int) {
 	if a := r.attempt; a != nil && a.number == attempt && !a.established {
 		a.finish(balancer.Cancelled, netio.Ended)
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -13,10 +13,10 @@
 // the host.
 type upstreamRequest struct {
 	request   *Request
-	number    int // index among the request's attempts in its present pool
+	number    int // index among the request's attempts in its present pool, from 0
 	host      *host
 	conn      Upstream
-	startedAt int64 // ns of the loop's time
+	startedAt int64 // ns of the loop's time; for a connection that was handed over, when this process resumed it
 	deadline  int64 // ns of the loop's time, at which the wait for the host's answer ends
 
 	timeoutTimer *netio.Timer // ends the attempt at its deadline
@@ -26,18 +26,18 @@
 
 	established  bool
 	finalKind    MessageKind // Finished or MigrateClient once the host has sent it, PlainMessage before
-	loadReport   []float64   // of the host's answer or last message, in the settings' order of fields; may be nil
-	load         float64     // µs/s, as the host last reported it; 0 if unknown
-	previousLoad float64     // µs/s, the load reported before that
-	// unansweredSince holds when unanswered lines of the client were sent, in nanoseconds, oldest
-	// first and at most maxUnansweredLines of them.
+	loadReport   []float64   // the load report of the host's answer or last message, in the settings' order of fields; may be nil
+	load         float64     // the connection's load in µs of work per second, as the host last reported it; 0 if unknown
+	previousLoad float64     // µs of work per second, the load reported before that; 0 if unknown
+	// unansweredSince holds the times, in nanoseconds, at which the client's unanswered lines were sent
+	// to the host: the oldest first, and at most maxUnansweredLines.
 	unansweredSince []int64
 }
 
 // startAttempt begins an attempt at the host that a pool's balancer has chosen, unless a rule
 // forbids it. timeout limits, in nanoseconds, the wait for the host's answer; if it is 0, only the
 // request's deadline does. startAttempt does nothing if the request has ended or belongs to another
-// pool by now.
+// pool by now. If it begins no attempt for another reason, it notifies the balancer.
 func (c *Core) startAttempt(p *pool, id, hostID string, timeout balancer.Time) {
 	r := c.requests[id]
 	if r == nil || r.pool != p {
@@ -89,7 +89,7 @@
 }
 
 // attemptBlocked logs that a rule forbids an attempt, and returns the status with which the attempt
-// ends.
+// ends: TooLate for the rules that have no status of their own.
 func (r *Request) attemptBlocked(rule invariant.Rule, h *host) balancer.AttemptStatus {
 	slog.Warn("attempt_blocked", "rule", rule, "request", r.attributes.ID, "host", h.hostID)
 	switch rule {
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -8,8 +8,8 @@
 	"croftlock/internal/dataplane/certexpiry"
 )
 
-// startExpiryMigrations schedules the migration of connections before one of their certificates
-// expires, if the settings enable it.
+// startExpiryMigrations schedules migrateExpiring, which migrates connections before one of their
+// certificates expires, if the settings enable it.
 func (c *Core) startExpiryMigrations() {
 	if !c.opt.Expiry.MigrationEnabled {
 		return
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -16,8 +16,8 @@
 
 // Options holds the parameters of a Core.
 type Options struct {
-	Settings       balancer.Config
-	MaxDownstreams int // limit on the downstreams of all processes of this proxy together
+	Settings       balancer.Config // the settings of the decision module, which the core reads too
+	MaxDownstreams int             // limit on the downstreams of all processes of this proxy together
 	// DelayInLoad specifies that hosts report a connection's load and their message delay in the
 	// same form, so that the core has to distinguish them.
 	DelayInLoad bool
@@ -29,7 +29,8 @@
 }
 
 // Core is the protocol-independent part of one proxy process. Its methods are called on the event
-// loop, or before the loop runs.
+// loop, or before the loop runs. The decision module is the code that chooses hosts; the core runs
+// one instance of it, a balancer, for each pool, which is a subset of the hosts.
 type Core struct {
 	loop  *netio.Loop
 	opt   Options
@@ -41,7 +42,7 @@
 	healthChecker   HealthChecker   // nil if the settings do not permit health checks
 	idleDownstreams IdleDownstreams // nil if there are none
 
-	fleet      fleetRules
+	fleet      fleetRules // the rules and limits on which all proxies, the fleet, agree
 	decisions  decisionLoop
 	requests   requestTable
 	hosts      hostTable
@@ -110,7 +111,8 @@
 }
 
 // Run starts the core with discovery d and the endpoint list initialList. newBalancer creates a
-// balancer that requests its effects from fx; the core calls it once for each pool. Run returns an
+// balancer that requests its actions, such as to start an attempt, from fx; the core calls
+// newBalancer once for each pool. Run returns an
 // error if it cannot create the balancer of the pool main.
 func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, initialList WatchEvent) (err error) {
 	c.discovery = d
@@ -139,7 +141,8 @@
 // messages.
 func (c *Core) SetPeers(p Peers) { c.peers = p }
 
-// PeerMessageReceived passes a message from another proxy to the balancers of all pools.
+// PeerMessageReceived passes a message from another proxy, whose number is from, to the balancers of
+// all pools.
 func (c *Core) PeerMessageReceived(from int, data []byte) {
 	c.counters.peerMessagesReceived++
 	for _, p := range c.pools.byName {
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -11,8 +11,8 @@
 // countsInterval is the interval at which the counters are logged.
 const countsInterval = 10 * time.Second
 
-// counters counts the core's activity since its counts were last logged, and as metrics since the
-// start of the process.
+// counters counts the core's activity: in activity since the counts were last logged, and in metrics
+// since the start of the process.
 type counters struct {
 	activity
 	loggedAt int64 // loop time at which the counts were last due, in nanoseconds
@@ -21,7 +21,7 @@
 
 // activity counts events since the counts were last logged.
 type activity struct {
-	// opened counts openings; served, rejected and failed count requests that a host accepted or that
+	// opened counts the calls of Core.Open, one for each well-formed first line of a client; served, rejected and failed count requests that a host accepted or that
 	// were rejected or failed. invalid counts client inputs that are not a valid request. migrated
 	// counts migrated clients. lost counts open connections that broke or whose host was silent.
 	opened, served, rejected, failed, invalid, migrated, lost int
@@ -34,8 +34,8 @@
 }
 
 // logCountsIfDue logs and resets the activity counters once per countsInterval. In the log record,
-// rejected counts requests, and over_capacity counts downstreams for which there was no capacity in
-// file descriptors; neither includes invalid_requests.
+// rejected counts requests, and over_capacity counts downstreams, the clients' connections, for which
+// there were not enough file descriptors; neither includes invalid_requests.
 func (c *Core) logCountsIfDue(now int64) {
 	if now-c.counters.loggedAt < int64(countsInterval) {
 		return
@@ -56,15 +56,16 @@
 	}
 }
 
-// countEnd counts the end of a request that was not accepted in the metrics of its class. Unknown
-// classes have no metrics.
+// countEnd counts, in the metrics of its class, the end of a request that was not accepted. It does
+// nothing if the class is unknown, because unknown classes have no metrics.
 func (c *Core) countEnd(class string, end metrics.End) {
 	if i, known := c.names.classes[class]; known {
 		c.counters.metrics.CountEnd(i, end)
 	}
 }
 
-// Metrics returns all metrics as text.
+// Metrics returns all metrics as text. Hosts that operators have suspended or the balancer has ejected
+// count as disabled.
 func (c *Core) Metrics() []byte {
 	open, pending := c.countRequests()
 	gauges := metrics.Gauges{Concurrent: open + pending}
--- a/internal/dataplane/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -7,12 +7,13 @@
 	"croftlock/internal/balancer"
 )
 
-// decisionLoop serialises the calls of the decision module. The module is single-threaded and not
-// reentrant, so its effects are queued while it handles an event and run in order once it has
-// returned. Events that the effects cause wait until all effects of the previous event have run.
+// decisionLoop serialises the calls of the decision module, the code that chooses hosts for requests.
+// The module is single-threaded and not reentrant. The actions that it requests while it handles an
+// event, its effects, are therefore queued, and run in order once it has returned. Events that the
+// effects cause wait until all effects of the previous event have run.
 type decisionLoop struct {
 	now     func() balancer.Time
-	running bool
+	running bool // submit is handling events, further up the call stack
 	events  []decisionEvent
 	effects []func()
 }
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -9,8 +9,9 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// effects implements balancer.Effects for the balancer of one pool. The effects are queued and
-// applied after the balancer has returned, except for Report, which logs at once.
+// effects implements balancer.Effects, the actions that a balancer can request, for the balancer of
+// one pool (a subset of the hosts). The actions are queued and carried out after the balancer has
+// returned, except for Report, which logs at once. Requests are given by ID.
 type effects struct {
 	core *Core
 	pool *pool
@@ -43,7 +44,8 @@
 	})
 }
 
-// CancelAttempt ends the request's attempt with this number, unless it is established or has ended.
+// CancelAttempt ends the request's attempt with this number, which counts the attempts in the
+// request's present pool from 0. It does nothing if that attempt is established or has ended.
 func (e *effects) CancelAttempt(id string, attempt int) {
 	e.core.decisions.addEffect(func() {
 		if r := e.core.requests[id]; r != nil {
@@ -52,7 +54,7 @@
 	})
 }
 
-// Migrate migrates the client of an open connection.
+// Migrate asks the client of an open connection to open it again, and ends the connection.
 func (e *effects) Migrate(id string) {
 	e.core.decisions.addEffect(func() {
 		if r := e.core.requests[id]; r != nil {
@@ -106,7 +108,8 @@
 	e.core.decisions.addEffect(func() { e.core.checkHost(e.pool, host) })
 }
 
-// SendToPeer sends a message to another proxy if peers are configured. The message may be lost.
+// SendToPeer sends a message to the proxy with the number peer, if peers are configured. The message
+// may be lost.
 func (e *effects) SendToPeer(peer int, data []byte) {
 	c := e.core
 	c.decisions.addEffect(func() {
--- a/internal/dataplane/proxy/endpointlist.go
+++ b/internal/dataplane/proxy/endpointlist.go
@@ -7,8 +7,8 @@
 // WatchEvent is an event of the watch of the endpoint list: the complete list, a change of it, or a
 // failed watch or fetch.
 type WatchEvent struct {
-	Kind    balancer.ListChange
-	Version int64 // the revision that discovery assigned
+	Kind    balancer.ListChange // whether Hosts is the complete list or a change, or that there is no list
+	Version int64               // the list's revision, which discovery assigned; 0 for a failure
 	Hosts   []HostEntry
 }
 
@@ -44,8 +44,9 @@
 	}
 }
 
-// updateHosts applies the entries to the host table, and returns the effective entries of each pool
-// for its balancer.
+// updateHosts applies the event's entries to the host table, and returns for each pool the entries of
+// its hosts, with the states that result from suspensions and watermarks. The key nil has the hosts
+// that are between two pools.
 func (c *Core) updateHosts(event *WatchEvent) map[*pool][]balancer.ListedHost {
 	entries := map[*pool][]balancer.ListedHost{}
 	listed := map[string]bool{}
@@ -64,9 +65,9 @@
 	return entries
 }
 
-// clearUnusableHosts ends the attempts at all hosts that are not ready whose first line is not
-// written yet, and drops removed hosts that have no requests. It is called after the decision module has been notified of the hosts'
-// states, so that retries go to other hosts.
+// clearUnusableHosts ends the attempts whose first line is not written yet at all hosts that are not
+// ready, and drops removed hosts that have no requests. It is called after the decision module has
+// been notified of the hosts' states, so that retries go to other hosts.
 func (c *Core) clearUnusableHosts() {
 	for id, h := range c.hosts.byID {
 		if h.state == balancer.Ready {
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// fleetRules holds the rules and limits on which all proxies of the fleet agree.
+// fleetRules holds the rules and limits on which the fleet, all proxies together, agrees. The rules
+// assign requests to accounts and to pools, the subsets of the hosts.
 type fleetRules struct {
 	enforcer *rules.Enforcer // nil if there are no rules
 	quota    Quota           // nil if there are no limits over the fleet
@@ -45,7 +46,7 @@
 
 const (
 	rulesAgree     recheckResult = iota // the attempt may begin
-	rulesReject                         // the request may not be placed any more
+	rulesReject                         // the rules reject the request
 	rulesOtherPool                      // the request may not use its pool any more
 	rulesOtherHost                      // the host accepts no new requests, or belongs to another pool
 )
@@ -56,7 +57,8 @@
 }
 
 // recheckRules applies the rules again right before an attempt, since the process may have been
-// paused, and the rules may have changed, after the request came. Adopted requests are not checked.
+// paused, and the rules may have changed, after the request came. The verdict is zero if the
+// rules are not applied: there are none, or the request is adopted (its connection was open before).
 func (c *Core) recheckRules(r *Request, h *host) (v rules.Verdict, result recheckResult) {
 	if c.fleet.enforcer == nil || r.adopted {
 		return v, rulesAgree
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -9,10 +9,11 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Successor receives the state that must outlive this process: suspensions, the endpoint list and
-// open connections.
+// Successor receives the state that must outlive this process, which a hot restart replaces by another
+// process of the same proxy: suspensions of hosts by operators, the endpoint list and open
+// connections.
 type Successor interface {
-	// HostSuspended stores a suspension or its end. It calls done on the loop once the change is
+	// HostSuspended stores the suspension of the host with this ID, or its end. It calls done on the loop once the change is
 	// stored or storing it has failed.
 	HostSuspended(id string, suspended bool, done func())
 	// ListChanged is called after each change of the endpoint list.
@@ -46,9 +47,9 @@
 	Class           string             `json:"Class"`   // a name, because class numbers depend on the settings of a process
 	Tenant          string             `json:"Tenant"`  // a name too; "" if the settings do not name the tenant
 	Host            string             `json:"Host"`    // the host's ID
-	Load            float64            `json:"Load"`    // µs of work per second; 0 if unknown
-	UnansweredSince []int64            `json:"Waiting"` // when each unanswered line of the client was sent, in nanoseconds
-	LastKind        MessageKind        `json:"Last"`    // Finished or MigrateClient if the host has sent it
+	Load            float64            `json:"Load"`    // the connection's load in µs of work per second; 0 if unknown
+	UnansweredSince []int64            `json:"Waiting"` // when each unanswered line of the client was sent, in nanoseconds of the sending process's clock
+	LastKind        MessageKind        `json:"Last"`    // Finished or MigrateClient if the host has sent it, PlainMessage otherwise
 	Downstream      netio.ReleasedConn `json:"Down"`
 	Upstream        netio.ReleasedConn `json:"Up"`
 }
@@ -60,8 +61,8 @@
 	Release(done func(netio.ReleasedConn))
 }
 
-// handOver starts the handover of an open connection. It migrates the client instead if either side
-// cannot be released.
+// handOver starts the handover of an open connection to the next process. If either side has no
+// Release, it migrates the client instead, so that the client opens the connection again.
 func (c *Core) handOver(r *Request) {
 	a := r.attempt
 	down, downReleasable := r.downstream.(Releaser)
@@ -97,7 +98,7 @@
 }
 
 // handOverReleased hands over a connection whose two sides have been released, or ends it if either
-// could not be released.
+// could not be released. In both cases it notifies the balancer that the connection has ended here.
 func (c *Core) handOverReleased(a *upstreamRequest, connection *HandedOverConnection) {
 	r := a.request
 	r.record.ConnectionEnded()
@@ -124,7 +125,8 @@
 }
 
 // Resume continues an open connection that another process has handed over. It returns the
-// receivers of the events of down, the client's side, and of up, the host's side.
+// receivers of the events of down, the client's side, and of up, the host's side. If the host is
+// suspended, Resume also schedules the client's migration.
 func (c *Core) Resume(connection *HandedOverConnection, down Downstream, up Upstream) (*Request, UpstreamEvents) {
 	h := c.resumedHost(connection.Host)
 	r := &Request{core: c, downstream: down, attributes: c.resumedAttributes(connection), pool: h.pool, phase: established, attempts: 1}
--- a/internal/dataplane/proxy/healthcheck.go
+++ b/internal/dataplane/proxy/healthcheck.go
@@ -6,8 +6,8 @@
 	"croftlock/internal/balancer"
 )
 
-// checkHost polls a host for its load on behalf of a pool's balancer. It reports TooLate without a
-// poll if the settings do not permit health checks, or if the host is unknown or not ready.
+// checkHost polls a host for its load on behalf of a pool's balancer, and reports the result to the
+// balancer. It reports the status TooLate without a poll if the settings do not permit health checks, or if the host is unknown or not ready.
 func (c *Core) checkHost(p *pool, id string) {
 	startedAt := c.loop.Now()
 	done := func(status balancer.AttemptStatus, load []float64) { c.healthCheckDone(p, id, startedAt, status, load) }
@@ -20,8 +20,9 @@
 	c.healthChecker.Check(h.target(), done)
 }
 
-// healthCheckDone records the load that a health check returned, and notifies the balancer of the
-// result.
+// healthCheckDone records the host's load, if the health check returned one, and notifies the balancer
+// of the result. load is in the settings' order of fields, or nil; the field with the index LoadField
+// (negative if there is none) is the host's load divided by its capacity.
 func (c *Core) healthCheckDone(p *pool, id string, startedAt balancer.Time, status balancer.AttemptStatus, load []float64) {
 	if h, field := c.hosts.byID[id], c.opt.Settings.LoadField; h != nil && field >= 0 && field < len(load) && load[field] >= 0 {
 		h.checkedLoad, h.checkedAt = load[field], c.loop.Now()
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -18,15 +18,15 @@
 	listed    balancer.ListedHost // the latest entry from discovery
 	state     balancer.HostState  // effective state, which accounts for suspensions and watermarks
 	startedAt balancer.Time       // latest start of the host, on this process's clock
-	pool      *pool               // nil while the host moves between two pools and gets no new requests
+	pool      *pool               // the subset of hosts to which it belongs; nil while it moves between two and gets no new requests
 
 	established map[*Request]struct{}         // requests with an open connection to the host
 	pending     map[*upstreamRequest]struct{} // attempts in flight
 
 	latency     messageLatency
-	loadFigures loadClassifier
-	checkedLoad float64 // load divided by capacity, from the last health check
-	checkedAt   int64   // time of that health check, in nanoseconds; 0 if there was none
+	loadFigures loadClassifier // distinguishes loads from delays among the figures that the host reports
+	checkedLoad float64        // load divided by capacity, from the last health check
+	checkedAt   int64          // time of that health check, in nanoseconds; 0 if there was none
 
 	// lastSnapshot is what the balancer of the previous pool knew of the host, for the balancer of
 	// the next pool. It is nil if the host has not changed pools or that balancer did not know it.
@@ -55,7 +55,7 @@
 	return names[s]
 }
 
-// target returns the host as the target of a Connector or a HealthChecker.
+// target returns the host's ID, zone and address for a Connector or a HealthChecker.
 func (h *host) target() Target { return Target{h.hostID, h.zone, h.address} }
 
 // setRemoved marks the host as absent from the endpoint list.
@@ -77,7 +77,8 @@
 }
 
 // stopUnsentAttempts ends the matching attempts whose first line is not written yet; the host
-// cannot have acted on them. It does not end the attempts of adopted requests.
+// cannot have acted on them. It does not end the attempts of adopted requests, which only this host
+// can serve.
 func (h *host) stopUnsentAttempts(matches func(a *upstreamRequest) bool) {
 	for a := range h.pending {
 		if a.lineUnsent() && !a.request.adopted && matches(a) {
@@ -91,7 +92,7 @@
 type hostTable struct {
 	byID        map[string]*host
 	suspensions *maintenance.Registry // the hosts that operators have suspended
-	watermarks  Watermarks            // nil if only this proxy's own list counts
+	watermarks  Watermarks            // hosts that drain or are removed in other proxies' newer lists; nil if only this proxy's list counts
 	clock       startClock
 }
 
@@ -102,7 +103,8 @@
 	return h
 }
 
-// update applies one entry of the endpoint list. If isNew is true, the host is not in a pool yet.
+// update applies one entry of the endpoint list, and returns its host. isNew reports whether update
+// added the host, which is not in a pool yet.
 func (t *hostTable) update(entry HostEntry) (h *host, isNew bool) {
 	if h = t.byID[entry.ID]; h == nil {
 		h, isNew = t.add(entry.ID), true
--- a/internal/dataplane/proxy/hoststart.go
+++ b/internal/dataplane/proxy/hoststart.go
@@ -15,14 +15,14 @@
 // process's clock. This process's clock starts at the system's time and does not change when the
 // system's clock is set.
 type startClock struct {
-	now       func() balancer.Time
-	wallClock func() time.Time // nil if the system's clock is taken to equal the process's clock
+	now       func() balancer.Time // this process's clock, in Unix nanoseconds
+	wallClock func() time.Time     // nil if the system's clock is taken to equal the process's clock
 }
 
 // hostStart returns when a host started, on this process's clock. A zero listed start stays zero.
 //
 // If the system's clock was set after the start of this process, listed starts are off by the same
-// amount, and a warming host that is taken for warm gets overloaded. The clock of the host may have
+// amount. A host that is still warming up and is taken for warm gets overloaded. The clock of the host may have
 // been set as well or not, so a start has two possible meanings: hostStart returns the later one
 // that is not in the future, or now if both are in the future.
 func (c startClock) hostStart(listed balancer.Time) balancer.Time {
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -10,11 +10,12 @@
 // Balancer is the part of the decision module that the core calls. The core calls it from one
 // goroutine, and never while the Balancer handles another call. Times are in nanoseconds.
 type Balancer interface {
-	// RequestArrived places a request: the balancer starts an attempt, queues it or rejects it.
+	// RequestArrived places a request: the balancer starts an attempt, or queues or rejects the request.
 	RequestArrived(now balancer.Time, q balancer.Request)
 	// ConnectionAdopted reports an open connection at host that the balancer has not placed.
 	ConnectionAdopted(now balancer.Time, q balancer.Request, host string)
-	// AttemptEstablished reports that the host has accepted, elapsed after the attempt began.
+	// AttemptEstablished reports that the host has accepted the request with this ID, elapsed after the
+	// attempt began. attempt counts the request's attempts in its present pool, from 0.
 	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
 	// AttemptEnded reports the end of an attempt or of its open connection.
 	AttemptEnded(now balancer.Time, result balancer.AttemptResult)
@@ -27,15 +28,16 @@
 	Observe(now balancer.Time, id string, attempt int, kind balancer.Observation, value float64)
 	// ListReceived reports the endpoint list, a change of it, or the failure to get one.
 	ListReceived(now balancer.Time, kind balancer.ListChange, entries []balancer.ListedHost)
-	// PeerMessageReceived reports a message from another proxy.
+	// PeerMessageReceived reports a message from another proxy, whose number is from.
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
 	// TimerFired reports that the delay of the effect Schedule with this token has passed.
 	TimerFired(now balancer.Time, token string)
-	// Ejected reports whether host is ejected because set-ups failed there. Until its next trial
-	// is due, an ejected host gets attempts only if no other host is available.
+	// Ejected reports whether host is ejected because connections to it
+	// could not be set up. Until its next trial is due, an ejected host gets attempts only if no other host is available.
 	Ejected(now balancer.Time, host string) bool
-	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives
-	// up its slow-start budgets.
+	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives up its
+	// slow-start budgets, the new connections that it may still place on hosts that are warming up, to
+	// the process that restores the snapshot.
 	Snapshot(yield bool) balancer.Snapshot
 	// Restore takes over the state in another balancer's snapshot.
 	Restore(now balancer.Time, snapshot balancer.Snapshot)
@@ -59,19 +61,19 @@
 	Reject(after time.Duration) // replies that a retry is harmless; after is the Retry-After, 0 for none
 	Fail()                      // replies that the request has failed
 	Relay(m Message) bool       // sends m, and reports whether it accepted m; if not, Request.DownstreamReady follows
-	RelayPending()              // offers the core again the messages that it did not accept
-	Migrate()                   // ends it with the line after which the client opens it again
+	RelayPending()              // offers the core again the messages that the core did not accept
+	Migrate()                   // ends the connection with the line after which the client opens it again
 	MigrationLine() []byte      // returns the line that Migrate sends
-	End(cause netio.Cause)      // ends it with the cause with which the host's side ended
+	End(cause netio.Cause)      // ends the connection with the cause with which the host's side ended
 }
 
 // Upstream is the connection of one upstream request. After End it calls no method of its
 // UpstreamEvents.
 type Upstream interface {
 	Relay(m Message) bool  // sends m, and reports whether it accepted m; if not, UpstreamReady follows
-	RelayPending()         // offers the core again the messages that it did not accept
-	Stage() netio.Stage    // returns the stage that it has reached
-	End(cause netio.Cause) // closes the connection, or cancels its dial
+	RelayPending()         // offers the core again the messages that the core did not accept
+	Stage() netio.Stage    // returns the stage that the upstream request has reached
+	End(cause netio.Cause) // closes the connection, with a reset if cause is netio.Broken, or cancels its dial
 }
 
 // UpstreamEvents receives the events of an Upstream.
@@ -95,7 +97,8 @@
 	Expires() time.Time // returns when the first of them expires, or the zero Time if there are none
 }
 
-// Target identifies an upstream host to a Connector or HealthChecker. Address is where to connect.
+// Target identifies an upstream host to a Connector or HealthChecker. Address is the "host:port" to
+// connect to.
 type Target struct{ ID, Zone, Address string }
 
 // HealthChecker polls upstream hosts for their load.
@@ -110,7 +113,7 @@
 // Connector opens upstream requests.
 type Connector interface {
 	// Start starts an upstream request to a host. The attempt to connect fails after connectTimeout.
-	// Once connected, the Upstream sends first. It reports its progress, the host's messages and its
+	// Once connected, the Upstream sends first, the request line. The Upstream reports its progress, the host's messages and its
 	// end by calling the methods of events. deadline is the Unix time in nanoseconds, on the loop's
 	// clock, at which the proxy stops waiting for the host's answer.
 	Start(to Target, first RequestLine, deadline int64, connectTimeout time.Duration, events UpstreamEvents) Upstream
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -1,5 +1,6 @@
 // Package proxy is the core between clients and upstream hosts. It owns each request on both sides,
-// applies the rules that hold for every protocol, and is the only caller of the decision module.
+// applies the rules that hold for every protocol, and is the only caller of the decision module,
+// the code that chooses a host for each request.
 // The packages that implement the interfaces in interfaces.go know the protocols of clients and
 // upstream hosts.
 //
@@ -9,18 +10,18 @@
 //
 // A request passes these checks in order, from its first line to its answer:
 //
-//  1. Core.Admit: capacity, in file descriptors, of the two processes of this proxy together. If none is
-//     left, the request is rejected.
+//  1. Core.Admit: capacity, in file descriptors, of the two processes (during a hot restart) of this
+//     proxy together. If none is left, the request is rejected.
 //  2. Core.validate: the settings name the class and tenant, and the ID is not in use. Otherwise the
 //     request fails.
 //  3. Core.Open: a process that is shutting down rejects the request.
-//  4. Core.applyRules and Core.choosePlacement: the fleet's rules reject the request, or name its account
-//     and the pools that it may use. If none of these pools has a usable host, the request is rejected.
+//  4. Core.applyRules and Core.choosePlacement: the rules on which all proxies (the fleet) agree reject
+//     the request, or name its account and the pools, subsets of the hosts, that it may use. If none of these pools has a usable host, the request is rejected.
 //  5. Core.answerTimeout: the request's deadline, which its class limits. If the decision module has not
 //     answered overdueGrace after the deadline, Request.failUnresponsive fails the request.
 //  6. Core.acquireQuota: the account's quota over all proxies. If none is left, the request is rejected.
 //  7. Balancer.RequestArrived: the decision module queues, paces, rejects or places the request. Its
-//     effects arrive in effects.go.
+//     effects, the actions that it requests, arrive in effects.go.
 //  8. Core.startAttempt, for each attempt: the limit of attempts, then invariant.Request.CheckAttempt,
 //     which forbids attempts past the deadline, at unusable hosts, or as an unsafe retry.
 //  9. Core.recheckRules: the fleet's rules again, since they may have changed.
@@ -41,7 +42,8 @@
 //   - 6, 7 and 9 are skipped.
 //   - 8: only CheckAttempt runs, without the limit of attempts.
 //   - 8 and 10: the host need not be usable.
-//   - 11: applies only in a shutdown. If its attempts fail, the request fails (Request.fail).
+//   - 11: applies only in a shutdown. Otherwise, a request whose attempts fail is not rejected but fails
+//     (Request.fail).
 //
 // # Open connections
 //
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -17,13 +17,13 @@
 const (
 	minPlausibleLoad      = 500  // µs/s; below this, a load figure is read as a delay in milliseconds
 	minPlausibleFirstLoad = 1500 // µs/s; the same for a connection's first figure, which is likelier a delay
-	maxPlausibleDelay     = 4000 // ms; a figure of this size or more is read as a load
-	maxFirstDelay         = 2500 // ms; a run of delays begins below this: a slower message is not waited for
-	// maxDelayStep is the largest change, in ms, from one delay to the next, a second later: work
-	// piles up no faster than it arrives.
+	maxPlausibleDelay     = 4000 // ms; a figure of this size or more is always read as a load
+	maxFirstDelay         = 2500 // ms; a run of delays (several in a row) begins below this: a slower message is not waited for
+	// maxDelayStep is the largest change, in ms, from one delay to the next, which is reported a second
+	// later: work piles up no faster than it arrives.
 	maxDelayStep = 2000
 	maxLoadRatio = 3   // the largest factor by which a connection's load changes from one figure to the next
-	queueingLoad = 0.8 // load divided by capacity from which messages may wait
+	queueingLoad = 0.8 // load of a host divided by its capacity, from which its messages may wait
 
 	// checkedLoadValidity is how long, in nanoseconds, the load from a host's health check is used.
 	checkedLoadValidity = int64(3500 * time.Millisecond)
@@ -45,9 +45,9 @@
 	delay   float64 // ms, the last figure classified as a delay
 	delayAt int64   // when that figure came; 0 if there was none
 
-	// The last figure small enough for a delay, however it was classified.
+	// candidate is the last figure small enough for a delay, however it was classified.
 	candidate     float64
-	candidateAt   int64            // 0 if there was none
+	candidateAt   int64            // when that figure came; 0 if there was none
 	candidateConn *upstreamRequest // the connection on which it came
 }
 
@@ -64,7 +64,7 @@
 }
 
 // isDelay reports whether a figure is a delay, at a host whose own load is unknown. load is the
-// connection's last load, or 0 if it has reported none.
+// connection's last load in µs of work per second, or 0 if none is known.
 //
 // The first figure of a connection is its load unless it is too small for a load: not every host
 // reports a load right after it accepts a request. After that, a figure close to the last load of a
@@ -82,23 +82,26 @@
 	return figure < maxFirstDelay && (figure*maxLoadRatio < load || figure > load*maxLoadRatio)
 }
 
-// isDelayGivenLoad is isDelay for a host whose hostLoad, its load divided by capacity, is known: no
-// message waits while capacity is left, however small a connection's load is. If the first delay of
+// isDelayGivenLoad is isDelay for a host whose hostLoad, its load divided by its capacity, is known. No
+// message waits while capacity is left, so a small figure alone does not make a delay. conn is the
+// connection on which the figure came. If the first delay of
 // a run is taken for a load, the next one, a second later, corrects that.
 func (d *loadClassifier) isDelayGivenLoad(now int64, figure float64, conn *upstreamRequest, hostLoad float64) bool {
 	steady := d.isSteady(now, steadyToleranceWithLoad)
 	return figure < maxPlausibleDelay && (steady && (d.candidateConn == conn || figure < minPlausibleLoad) || hostLoad >= queueingLoad && figure < minPlausibleLoad)
 }
 
-// recordCandidate records a figure if it is small enough for a delay.
+// recordCandidate records a figure, and the connection on which it came, if it is small enough for a
+// delay.
 func (d *loadClassifier) recordCandidate(now int64, figure float64, conn *upstreamRequest) {
 	if figure < maxPlausibleDelay {
 		d.candidateAt, d.candidateConn, d.candidate = now, conn, figure
 	}
 }
 
-// loadFigureReceived classifies the figure of a LOAD line and notifies the balancer of a load or a
-// latency.
+// loadFigureReceived classifies the figure of a LOAD line as the connection's load or the host's message
+// delay, records it, and notifies the balancer of it. Unless Options.DelayInLoad is set, each figure is
+// a load.
 func (a *upstreamRequest) loadFigureReceived(figure float64) {
 	c, d := a.request.core, &a.host.loadFigures
 	now := c.loop.Now()
@@ -121,7 +124,8 @@
 	})
 }
 
-// observationKind returns the kind of observation as which a figure is reported to the balancer.
+// observationKind returns the kind of observation as which a figure is reported to the balancer. delay
+// reports whether the figure is a delay and not a load.
 func observationKind(delay bool) balancer.Observation {
 	if delay {
 		return balancer.ObservedLatency
@@ -150,6 +154,6 @@
 		return
 	}
 	if a.load < maxPlausibleDelay {
-		a.load = 0 // it may be a misclassified delay
+		a.load = 0 // the recorded load may be a misclassified delay; 0 means unknown
 	}
 }
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -6,7 +6,7 @@
 type Opening struct {
 	ID, Key              string // Key is the idempotency key, "" for none
 	Class, Tenant, Group string
-	ExpectedLoad         float64       // in the unit of the settings; 0 if not given
+	ExpectedLoad         float64       // load of the connection, in the unit of the settings; 0 if not given
 	Retry                bool          // the client marks the request as a retry
 	Returned             bool          // the client opens a connection again after a break or a migration
 	Wait                 time.Duration // how long the client waits for its answer, if HasWait
@@ -16,8 +16,8 @@
 
 // RequestLine is the client's opening in the form in which it is sent to an upstream host.
 type RequestLine interface {
-	// WithWait returns the line's bytes, in which wait is how long the proxy waits for the host's
-	// answer.
+	// WithWait returns the bytes of the line. It tells the host that the proxy waits for the answer as
+	// long as wait.
 	WithWait(wait time.Duration) []byte
 }
 
@@ -40,7 +40,7 @@
 // during the call.
 type Message struct {
 	Kind MessageKind
-	Load float64 // of LoadReported: microseconds of work per second, or milliseconds of message delay
+	Load float64 // for LoadReported, microseconds of work per second or milliseconds of message delay; 0 otherwise
 	// Report is the load report that follows OverCapacity, Failed or Finished, in the settings'
 	// order of fields. It is nil if there is none.
 	Report []float64
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -13,7 +13,7 @@
 	monitorInterval = 250 * time.Millisecond
 	// hostSilenceTimeout is how long a client's line may go unanswered before its host counts as
 	// silent. Clients must leave a silent host within 7 s: 2 s until a client's next line + 4.5 s +
-	// 0.25 s between checks.
+	// 0.25 s between checks (monitorInterval).
 	hostSilenceTimeout = 4500 * time.Millisecond
 	// maxUnansweredLines is the maximum number of unanswered lines that are tracked for one
 	// connection.
@@ -29,25 +29,26 @@
 // messageLatency tracks how long messages take at one host, on all its connections from this proxy.
 // Times are in nanoseconds.
 type messageLatency struct {
-	lastLatency    int64 // latency of the last answered line
-	lastAnswerAt   int64 // when its answer came
+	lastLatency    int64 // time from sending the last answered line to its answer
+	lastAnswerAt   int64 // when that answer came; 0 if there was none
 	oldestSent     int64 // when the oldest unanswered line was sent; 0 if there is none
-	reportedAt     int64 // when a latency was last reported
+	reportedAt     int64 // when a latency was last reported to the decision module; 0 if never
 	reportedAsSlow bool  // the last report was of a slow host
 }
 
-// recordAnswer records that a line sent at time sent is answered at time now.
+// recordAnswer records that a client's line, sent to the host at time sent, is answered at time now.
 func (l *messageLatency) recordAnswer(now, sent int64) { l.lastLatency, l.lastAnswerAt = now-sent, now }
 
-// recordUnanswered records a line that was sent at time sent and is unanswered.
+// recordUnanswered records that a client's line that was sent to the host at time sent is unanswered.
 func (l *messageLatency) recordUnanswered(sent int64) {
 	if l.oldestSent == 0 || sent < l.oldestSent {
 		l.oldestSent = sent
 	}
 }
 
-// current returns how long messages take now: the latency of the last answer if that is recent, or
-// how long the oldest unanswered line has waited if that is longer.
+// current returns how long messages take now: the latency of the last answer if that came within two
+// report intervals, or how long the oldest unanswered line has waited if that is longer. It returns 0
+// if there is neither.
 func (l *messageLatency) current(now int64) (latency int64) {
 	if now-l.lastAnswerAt < 2*latencyReportInterval {
 		latency = l.lastLatency
@@ -58,8 +59,8 @@
 	return latency
 }
 
-// shouldReport reports whether to report a latency: while it is above the threshold, and once more
-// when it no longer is. If it returns true, it records a report at time now.
+// shouldReport reports whether to report a latency: while the latency is above the threshold, and once
+// more when it no longer is. If shouldReport returns true, it records a report at time now.
 func (l *messageLatency) shouldReport(now, latency, threshold int64) bool {
 	slow := latency > threshold
 	if !slow && !l.reportedAsSlow {
@@ -103,8 +104,9 @@
 	}
 }
 
-// reportLatency notifies the decision module of how long messages take at a slow host, as one
-// observation on any of its connections, at most once per latencyReportInterval.
+// reportLatency notifies the decision module of how long messages take at a slow host, and once more
+// when the host is no longer slow. It reports one observation on any of the host's connections, at most
+// once per latencyReportInterval, and none if no class has a message latency objective.
 func (c *Core) reportLatency(h *host, now int64) {
 	objective := c.shortestMessageObjective()
 	l := &h.latency
--- a/internal/dataplane/proxy/migrations.go
+++ b/internal/dataplane/proxy/migrations.go
@@ -6,10 +6,10 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Pacer grants permits to migrate clients, so that the whole fleet keeps to one rate.
+// Pacer grants permits to migrate clients, so that all proxies together keep to one rate.
 type Pacer interface {
-	// RequestMigrations requests want permits, and calls done on the event loop with how many are
-	// granted now.
+	// RequestMigrations requests want permits, one for each client to migrate, and calls done on the
+	// event loop with n, the number of permits granted now, which may be 0.
 	RequestMigrations(want int, done func(n int))
 }
 
@@ -17,7 +17,7 @@
 	// pacerInterval is the pause before permits are requested again for clients that still wait.
 	pacerInterval = 100 * time.Millisecond
 	// maxPendingMigrations limits the clients that wait for a permit. Further ones migrate at once,
-	// as without a pacer. A proxy's file descriptors limit their number in any case.
+	// as without a pacer. A proxy's file descriptors limit the number of its clients in any case.
 	maxPendingMigrations = 4096
 )
 
@@ -51,7 +51,8 @@
 	p.pacer.RequestMigrations(len(p.pending), p.permitsGranted)
 }
 
-// permitsGranted migrates n clients, and requests permits again for those that still wait.
+// permitsGranted migrates n clients, and requests permits again after pacerInterval for those that still
+// wait.
 func (p *migrationPacer) permitsGranted(n int) {
 	p.requested = false
 	for n > 0 && len(p.pending) > 0 {
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -17,8 +17,8 @@
 
 // poolTable holds the pools by name, and creates them.
 type poolTable struct {
-	newBalancer func(p *pool) (Balancer, error)
-	main        *pool // the only pool unless rules split the hosts
+	newBalancer func(p *pool) (Balancer, error) // set by Core.Run
+	main        *pool                           // the pool of requests for which no rule names another; nil before Core.Run
 	byName      map[string]*pool
 }
 
@@ -88,8 +88,9 @@
 	return c.pools.get(c.fleet.enforcer.Pool(h.hostID, h.listed.Kind, h.zone))
 }
 
-// choosePool returns the first of the named pools that has a usable host, or nil if none has. It
-// returns main if names is nil.
+// choosePool returns the first of the named pools that has a usable host: one that accepts new requests
+// and that the rules permit. It returns nil if none has one, and main if names is nil, which means that
+// the rules name no pools.
 func (c *Core) choosePool(names []string) *pool {
 	if names == nil {
 		return c.pools.main
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -12,16 +12,16 @@
 	IsLimited(account string) bool
 	// Acquire reserves quota for one connection of an account, and calls done on the event loop
 	// with the result. exceeded names the limit that is used up, and is "" if the quota was
-	// reserved. retryAfter is the Retry-After of a rejection; spread, from 0 up to 1, spreads it
-	// over requests.
+	// reserved. retryAfter is the Retry-After of a rejection. spread is a number in [0, 1) that differs
+	// between requests, so that their retries do not come at the same time.
 	Acquire(account string, spread float64, done func(exceeded string, retryAfter time.Duration))
 	// CountExisting counts a connection that is open already, whether or not quota is left.
 	CountExisting(account string)
-	// Release frees the quota of one connection.
+	// Release frees the quota of one connection of an account.
 	Release(account string)
 }
 
-// SetQuota sets the limits over the fleet. It is called before the core accepts clients.
+// SetQuota sets the limits that apply over all proxies (the fleet). It is called before the core accepts clients.
 func (c *Core) SetQuota(q Quota) { c.fleet.quota = q }
 
 // acquireQuota calls proceed once quota for the request is reserved in its account, and at once if
@@ -34,6 +34,7 @@
 	c.fleet.quota.Acquire(account, retrySpread(r.attributes.ID), func(exceeded string, retryAfter time.Duration) {
 		switch {
 		case exceeded != "" && r.answered():
+			// No quota was reserved, and nobody waits for an answer.
 		case exceeded != "":
 			if tracing() {
 				slog.Debug("quota_exceeded", "request", r.attributes.ID, "account", account, "of", exceeded)
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -13,7 +13,7 @@
 
 const (
 	awaitingAnswer requestPhase = iota
-	established                 // its host has accepted it, and the connection is open
+	established                 // a host has accepted the request, and its connection is open
 	closed                      // its client has the final answer or has left, or its connection has ended
 )
 
@@ -37,13 +37,13 @@
 	requestLine RequestLine
 	attributes  balancer.Request // the request as the decision module knows it
 	tenant      string           // as the client named it; "" after a hot restart
-	deadline    int64            // ns of the loop's time
+	deadline    int64            // ns of the loop's time, by which the client expects its answer; 0 for a connection that was handed over
 
 	// pool is the pool whose balancer places the request and, once the connection is open, the
 	// host's pool. It is nil while the host is between two pools.
 	pool         *pool
-	quotaAccount string // the account whose quota the request holds; "" if none
-	record       invariant.Request
+	quotaAccount string            // the account whose quota the request holds; "" if none
+	record       invariant.Request // the request's attempts and answers, for the checks of the invariants
 	// overdueTimer fails the request if the balancer does not answer. It is nil for adopted
 	// requests and connections that were handed over.
 	overdueTimer *netio.Timer
@@ -89,7 +89,8 @@
 	return r.attempt.conn.Stage().String()
 }
 
-// requestPlacement asks the balancer of the request's pool to place the request.
+// requestPlacement asks the balancer of the request's pool to place the request, unless the request has
+// its answer by the time at which the balancer handles the event.
 func (r *Request) requestPlacement() {
 	r.core.notify(r, r.pool, func(now balancer.Time, m Balancer) {
 		if r.answered() {
@@ -101,8 +102,8 @@
 	})
 }
 
-// removeIfDone closes the request. If no attempt is left, it also removes the request and releases
-// its quota.
+// removeIfDone closes the request in any case. If no attempt is left, it also removes the request from
+// the core's table and releases its quota.
 func (r *Request) removeIfDone() {
 	r.becomeClosed()
 	if r.attempt == nil && r.core.requests[r.attributes.ID] == r {
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -9,9 +9,11 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// MaySend reports whether the first line may be written, now that the connection is established. In
-// the meantime the host may have become unusable, or the dedup window of a retry may have ended. If
-// MaySend returns false, it has ended the attempt.
+// MaySend reports whether the attempt's first line, the request line, may be written. It is called
+// once the connection to the host is established: since the attempt began, the host may have become
+// unusable, or the dedup window of a retry, in which hosts discard a second run, may have ended.
+// Whenever MaySend returns false, the attempt has ended: either before the call, or in it because a
+// rule forbids the write.
 func (a *upstreamRequest) MaySend() bool {
 	if a.request.attempt != a {
 		return false
@@ -23,17 +25,18 @@
 	return true
 }
 
-// startRetryWindowTimer starts a timer that ends the attempt if its line is not written before the
-// dedup window ends.
+// startRetryWindowTimer starts a timer that ends the attempt if its first line is not completely
+// written when the request's dedup window ends (invariant.Request.RetryUntil). It starts none if no
+// dedup window applies.
 func (a *upstreamRequest) startRetryWindowTimer() {
 	deadline := a.request.record.RetryUntil()
 	if deadline == math.MaxInt64 {
-		return
+		return // no dedup window applies
 	}
 	c := a.request.core
 	a.retryWindowTimer = c.loop.After(time.Duration(deadline-c.loop.Now()), func() {
 		if a.lineUnsent() {
-			a.finish(balancer.TooLate, netio.Ended) // the host is not at fault
+			a.finish(balancer.TooLate, netio.Ended) // TooLate does not count as a failure of the host
 		}
 	})
 }
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -11,7 +11,8 @@
 // A process does the following from SIGTERM to its end, in order. The times are those of
 // shutdownSchedule.
 //
-//  0. The process gives up its jobs and leaves the fleet, in parallel with the rest
+//  0. The process gives up the jobs that it runs for all proxies and leaves the fleet, the proxies that
+//     work together, in parallel with the rest
 //     (process.announceLeave in package node).
 //  1. Core.Shutdown: Core.Open rejects new requests with a Retry-After.
 //  2. If another process of this proxy has taken over, open connections are handed over
@@ -48,10 +49,10 @@
 	handoverSpan = 2500 * time.Millisecond
 	// answerMargin is how long before SIGKILL every request must have its answer and every open
 	// connection its migration: the process may be paused once when it receives the signal and once
-	// when it answers, and clients need time to hang up. It leaves each request that was accepted
-	// before SIGTERM its deadline, up to maxGrantedDeadline.
+	// when it answers, and clients need time to hang up. The margin is small enough that each request
+	// accepted before SIGTERM keeps its deadline, up to maxGrantedDeadline.
 	answerMargin = 3 * invariant.MaxPause
-	// exitMargin is how long before SIGKILL the process ends.
+	// exitMargin is how long before SIGKILL the process ends: the time of two pauses of the process.
 	exitMargin = 2 * invariant.MaxPause
 	// shutdownStepInterval is the interval between the steps of a shutdown.
 	shutdownStepInterval = 50 * time.Millisecond
@@ -59,7 +60,7 @@
 	handoversPerStep = 16
 	// idleStepsToEnd is how many steps in a row must find nothing left before the process ends. One
 	// is not enough: after a pause of the process the first step runs before the connections in the
-	// listener's queue are accepted, and they would end with the process.
+	// listener's queue are accepted, and those connections would end with the process.
 	idleStepsToEnd = 2
 )
 
@@ -68,7 +69,7 @@
 type shutdownSchedule struct {
 	migrateFrom int64 // when the migration of open connections and the ending of idle downstreams start
 	migrateBy   int64 // when all have been migrated; connections established later are migrated at once
-	answerBy    int64 // when each pending request gets its answer; later ones are rejected
+	answerBy    int64 // when each pending request gets its answer and no attempt starts any more
 	exitBy      int64 // when the process ends
 }
 
@@ -107,8 +108,8 @@
 	EndIdle(partial bool) int
 }
 
-// SetIdleDownstreams sets the connections without a request, which a shutdown ends. It waits for
-// those that have sent part of a request.
+// SetIdleDownstreams sets the connections without a complete request, which a shutdown ends. The shutdown
+// waits until answerBy for those that have sent part of a request.
 func (c *Core) SetIdleDownstreams(d IdleDownstreams) { c.idleDownstreams = d }
 
 // shutdown holds the state of a process's shutdown, from SIGTERM to the end of the process.
@@ -117,7 +118,7 @@
 	schedule  shutdownSchedule
 	startedAt int64  // loop time of the start, in nanoseconds
 	migrated  int    // open connections migrated so far
-	total     int    // largest sum so far of connections migrated and still open
+	total     int    // the largest sum so far of migrated and of then still open connections
 	idleSteps int    // number of steps in a row that found nothing left
 	answered  bool   // answerAll has run
 	done      func() // nil once the shutdown has ended
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -24,27 +24,28 @@
 type Snapshot struct {
 	WrittenAt  int64                    `json:"At"`        // ns on the writer's clock; 0 if written by an earlier version
 	Discovery  string                   `json:"Discovery"` // address of the service that sent the list; Revision is only valid for it
-	Revision   int64                    `json:"Rev"`
+	Revision   int64                    `json:"Rev"`       // of the endpoint list, as discovery numbers it; negative if there is no list
 	Hosts      []HostEntry              `json:"Hosts"`
-	Suspended  []maintenance.Suspension `json:"Out"`   // hosts suspended by calls at this proxy
+	Suspended  []maintenance.Suspension `json:"Out"`   // hosts that operators suspended by calls at this proxy, not for the fleet of all proxies
 	KnownHosts []string                 `json:"Known"` // every host that an operator's call may suspend or resume
 	Balancer   balancer.Snapshot        `json:"Memory"`
 }
 
 // Bounds of a Snapshot. This program does not write one that exceeds them.
 const (
-	maxHosts    = 4096
-	maxIDLength = 256 // bytes
+	maxHosts    = 4096 // listed, and suspended; known hosts may be twice as many
+	maxIDLength = 256  // bytes
 )
 
 // minClockStep is the minimum difference, in nanoseconds, between two processes' clocks that counts
-// as a step of the system's clock between their starts.
+// as a step of the system's clock (someone set it) between their starts. A smaller one is ignored.
 const minClockStep = int64(time.Second)
 
 // Rebase converts the times of the snapshot to this process's clock, which reads now, in
 // nanoseconds. Each process's clock starts at the system's time, which may have been set in
-// between, by as much as an hour in either direction. live reports whether the snapshot was written
-// just now; the age of a snapshot from a file is unknown, so only one from the future is converted.
+// between, by as much as an hour in either direction. live reports whether a running process wrote the
+// snapshot just now. The age of a snapshot from a file is unknown, so only one from the future is
+// converted.
 func (s *Snapshot) Rebase(now int64, live bool) {
 	offset := now - s.WrittenAt
 	if s.WrittenAt > 0 && (offset < 0 || live) && (offset <= -minClockStep || offset >= minClockStep) {
@@ -127,8 +128,8 @@
 		!math.IsNaN(e.Weight) && e.Weight >= 0 && e.StartedAt >= 0
 }
 
-// RestoreSuspensions restores the known hosts and the suspensions of a snapshot. They take effect
-// when a list contains the hosts. It is called before Run and, in a takeover, once more after Run;
+// RestoreSuspensions restores the known hosts and the suspensions of a snapshot. A suspension takes
+// effect when an endpoint list contains the host. It is called before Run and, in a takeover, once more after Run;
 // by then SetOtherProcessSuspension has applied the changes since the first call.
 func (c *Core) RestoreSuspensions(s *Snapshot) {
 	for _, id := range s.KnownHosts {
@@ -145,8 +146,9 @@
 	c.notify(nil, c.pools.main, func(now balancer.Time, m Balancer) { m.Restore(now, s) })
 }
 
-// Snapshot returns the state for the next process. If yield is true, this process gives up its
-// slow-start budgets.
+// Snapshot returns the state for the next process, without Discovery and Revision, which the caller
+// sets. If yield is true, this process gives up its slow-start budgets (the new connections that it
+// may place on hosts that are warming up) to the next one.
 func (c *Core) Snapshot(yield bool) *Snapshot {
 	s := &Snapshot{
 		WrittenAt:  c.loop.Now(),
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -9,8 +9,9 @@
 )
 
 // SetSuspended suspends a host, so that it gets no new requests, or ends its suspension. It is
-// idempotent. It calls done on the loop: with known false if no list has ever contained the host,
-// otherwise with known true once the change would outlive this process or storing it has failed.
+// idempotent. It calls done on the loop. known is false if no list has ever contained the host, which
+// changes nothing. Otherwise known is true, and done is called once the change is stored for the next
+// process or storing it has failed.
 // Without a Successor it calls done at once.
 func (c *Core) SetSuspended(id string, suspended bool, done func(known bool)) {
 	if !c.hosts.suspensions.Known(id) {
@@ -22,7 +23,7 @@
 		done(true)
 		return
 	}
-	// The change is in force here from now on. done is called once it would outlive this process.
+	// The change is in force here from now on. done is called once the change is stored.
 	// The other process is notified even if nothing changed here, because an earlier call may have
 	// reached only one of the two.
 	c.handover.successor.HostSuspended(id, suspended, func() { done(true) })
@@ -61,7 +62,7 @@
 }
 
 // suspensionChanged applies the effective state of a host whose suspension has begun or ended.
-// ended is the suspension that has ended if suspended is false.
+// If suspended is false, ended is the suspension that has ended; otherwise it has no meaning.
 func (c *Core) suspensionChanged(id string, suspended bool, ended maintenance.Suspension) {
 	h := c.hosts.byID[id]
 	if h == nil || h.listed.State == balancer.Removed {
@@ -81,8 +82,9 @@
 	}
 }
 
-// startAfterSuspension returns the assumed start of a host whose suspension has ended. Discovery
-// may not have reported the start yet. If the result is a guess, confirmStart corrects it after
+// startAfterSuspension returns the assumed start of a host whose suspension has ended. A suspended host
+// is usually restarted, and discovery may not have reported that yet. listed is the latest start that
+// it has reported. If the result is a guess, confirmStart corrects it after
 // maintenance.StartUncertainty.
 func (c *Core) startAfterSuspension(h *host, ended maintenance.Suspension, listed balancer.Time) balancer.Time {
 	start, isGuess := ended.StartOnResume(listed, c.loop.Now())
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -10,16 +10,17 @@
 
 var _ UpstreamEvents = (*upstreamRequest)(nil)
 
-// UpstreamSent records that the last byte of the first line is written.
+// UpstreamSent records that the last byte of the attempt's first line is written, so that the host may
+// act on it.
 func (a *upstreamRequest) UpstreamSent() {
 	c := a.request.core
 	c.counters.metrics.CountDispatch()
 	a.request.record.LineWritten(c.loop.Now(), a.startedAt, a.host.invariantHost())
 }
 
-// FromUpstream handles a message from the host: before the acceptance it is the answer, afterwards
-// it is relayed. It reports whether it accepted the message; one for an ended attempt is accepted
-// and dropped.
+// FromUpstream handles a message from the host. Before the host's acceptance, a message is the answer;
+// afterwards it is relayed. FromUpstream reports whether it accepted the message. It accepts and drops
+// a message for an attempt that has ended.
 func (a *upstreamRequest) FromUpstream(m Message) bool {
 	r := a.request
 	if r.attempt != a {
@@ -43,7 +44,8 @@
 	return true
 }
 
-// becomeEstablished handles the host's acceptance, and answers the client with it.
+// becomeEstablished handles m, the host's acceptance: it answers the client with m and notifies the
+// balancer.
 func (a *upstreamRequest) becomeEstablished(m Message) {
 	r, c := a.request, a.request.core
 	a.established = true
@@ -67,7 +69,8 @@
 	c.reassignConnection(r) // the host may have changed pools in the meantime
 }
 
-// notifyEstablished notifies the balancer that the host has accepted.
+// notifyEstablished notifies the balancer that the host has accepted the request. The balancer learns of
+// an adopted one, whose connection was open before this proxy's start, only now.
 func (a *upstreamRequest) notifyEstablished() {
 	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
@@ -84,7 +87,8 @@
 	})
 }
 
-// relay relays a host's message on an open connection to the client, and records what it reports.
+// relay relays a host's message on an open connection to the client, and records the message's load
+// report, load figure or kind.
 // It reports whether the client's connection accepted the message. A message other than Finished,
 // MigrateClient and LoadReported answers the client's oldest unanswered line.
 func (a *upstreamRequest) relay(m Message) bool {
--- a/internal/dataplane/proxy/watermarks.go
+++ b/internal/dataplane/proxy/watermarks.go
@@ -7,7 +7,7 @@
 )
 
 // Watermarks reports which hosts drain or are removed according to newer endpoint lists of other
-// proxies.
+// proxies. A watermark is the mark that such a list sets on a host.
 type Watermarks interface {
 	// ListUpdated is called with each change of this proxy's own list before it takes effect. It
 	// returns the IDs of the hosts for which a watermark begins or ceases to count.
@@ -19,7 +19,8 @@
 
 // SetWatermarks sets the watermarks that keep new requests from hosts that drain or are removed in
 // another proxy's newer list. A nil w removes them. revision is the revision of the own list,
-// negative if there is none yet.
+// negative if there is none yet. If w is not nil and there is a list, it passes the list to w and
+// applies the watermarks.
 func (c *Core) SetWatermarks(w Watermarks, revision int64) {
 	if c.hosts.watermarks = w; w == nil || revision < 0 {
 		return
