--- a/internal/dataplane/certexpiry/expiry.go
+++ b/internal/dataplane/certexpiry/expiry.go
@@ -21,7 +21,7 @@
 type Policy struct {
 	MigrationEnabled  bool          // if false, no connection is migrated
 	Before            time.Duration // how long before a certificate's expiry migrations start
-	MaxSharePerMinute float64       // maximum part of the established connections that migrates per minute
+	MaxSharePerMinute float64       // maximum part, from 0 to 1, of the established connections that migrates per minute
 }
 
 // Conn describes an established connection.
@@ -36,7 +36,7 @@
 	policy   Policy
 	lastPlan int64   // time of the last call of Plan, in nanoseconds
 	started  bool    // Plan has been called
-	permits  float64 // connections that may migrate now
+	permits  float64 // how many connections may migrate now, with the fraction accumulated for the next one
 }
 
 // New returns a Planner with the given policy.
@@ -46,7 +46,7 @@
 const PlanInterval = time.Second
 
 // Plan returns the IDs of the connections to migrate now, those that have been due the longest
-// first. now is monotonic time in nanoseconds, and wall is the time with which certificates are
+// first, and counts them as migrated. now is monotonic time in nanoseconds, and wall is the time with which certificates are
 // compared. open must contain all open connections.
 func (p *Planner) Plan(now int64, wall time.Time, open []Conn) []string {
 	if !p.policy.MigrationEnabled || len(open) == 0 {
--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -15,19 +15,19 @@
 // errSilent is the error of a call that was not answered in time.
 var errSilent = errors.New("no answer")
 
-// noRevision is the revision of a client that has no list of the service.
+// noRevision is the revision of a client that has no list of the service that it calls.
 const noRevision = -1
 
 // call is one request to discovery.
 type call struct {
 	client       *Client
-	fromRevision int64        // the client's revision when the call started
+	fromRevision int64        // the client's revision when the call started; negative if it had no list
 	startedAt    int64        // Unix time in nanoseconds
 	target       string       // path and query
 	dial         *netio.Dial  // nil unless the connection is being opened
 	conn         *netio.Conn  // nil until the connection is established
 	timer        *netio.Timer // ends the call at its timeout
-	reused       bool         // the call uses the idle connection of an earlier one
+	reused       bool         // the call uses the idle connection of an earlier call
 	// done is called with the result of the call. It is nil once the call has ended.
 	done func(event proxy.WatchEvent, err error)
 }
@@ -66,7 +66,7 @@
 	q.conn.Write([]byte("GET " + q.target + " HTTP/1.1\r\nHost: " + q.client.address + "\r\nAccept: application/json\r\n\r\n"))
 }
 
-// Data handles the response once it is complete.
+// Data handles the response of discovery once the response is complete.
 func (q *call) Data(c *netio.Conn) { q.parse(false) }
 
 // parse ends the call once the input holds a complete or an invalid response. ended reports whether
@@ -97,7 +97,8 @@
 	q.finish(nil, err)
 }
 
-// finish ends the call, keeps its connection for the next one if possible, and calls done. It does nothing
+// finish ends the call with its response or its error, keeps the connection for the next call if the
+// connection can carry one, and calls done. It does nothing
 // if the call has ended.
 func (q *call) finish(r *response, err error) {
 	if q.done == nil {
@@ -137,7 +138,8 @@
 	}
 }
 
-// acceptAnswer updates the client's revision from an answer, and returns the event to pass on.
+// acceptAnswer updates the client's revision from the answer of call q, and returns the event to pass on:
+// an empty change if another call has returned a newer list. It also ends the time after a redirect.
 func (c *Client) acceptAnswer(q *call, event proxy.WatchEvent) proxy.WatchEvent {
 	c.redirectedAt = 0
 	switch {
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -17,11 +17,12 @@
 	// minWatchTimeout and maxWatchTimeout bound how long discovery may hold a call of the watch. Between
 	// these bounds the time is watchTimeoutPerProxy for each proxy that uses discovery, so that up to 80
 	// proxies together make at most four calls a second. The shorter the time, the sooner a watch whose
-	// connection has died is replaced.
+	// connection has died is noticed and repeated.
 	minWatchTimeout      = 4 * time.Second
 	maxWatchTimeout      = 20 * time.Second
 	watchTimeoutPerProxy = 250 * time.Millisecond
-	// watchAnswerTimeout is how long the answer may take beyond the watch timeout. It is shorter than the 2 s
+	// watchAnswerTimeout is how long the answer may take beyond the time for which discovery may hold the
+	// call (watchTimeout). It is shorter than the 2 s
 	// after which a list counts as received late.
 	watchAnswerTimeout = 1200 * time.Millisecond
 	// fullListTimeout bounds a call for the complete list. It is longer than discovery's own limit of 2 s: a
@@ -36,7 +37,7 @@
 	// pause of the decision module may be longer.
 	redirectSettleTime = 3500 * time.Millisecond
 	redirectRetryPause = 150 * time.Millisecond
-	// The next three apply to an agent on this machine, to which lists are pushed. Calls on it are cheap, and
+	// The next three constants apply to an agent on this machine, to which discovery pushes its lists. Calls on it are cheap, and
 	// a list counts as received as soon as the agent has it. So a call whose connection has died is ended and
 	// repeated within the 250 ms that the contract allows between receiving a list and following it.
 	agentWatchTimeout  = 100 * time.Millisecond
@@ -52,14 +53,14 @@
 	address       string
 	notify        func(proxy.WatchEvent)
 	watchTimeout  time.Duration // how long discovery may hold a call of the watch
-	answerTimeout time.Duration // how long the answer may take beyond that
+	answerTimeout time.Duration // how long the answer may take beyond watchTimeout
 	followsAgent  bool          // the service is an agent on this machine; see FollowAgent
 
 	revision       int64        // of the client's list, in the numbering of the service at address; negative if it has none
 	redirectedAt   int64        // Unix time in ns of a redirect to an address that has not answered yet, else 0
 	retryTimer     *netio.Timer // makes the next call of the watch after a failure
 	watching       bool         // the watch is on
-	firstAnswerDue bool         // the next answer is the first of the watch, which is passed on even if it is empty
+	firstAnswerDue bool         // the next answer is the first since the watch was turned on, and is passed on even if it is empty
 	watch          *call        // the watch's call in flight; may be nil
 	reopened       bool         // the watch was reopened after silence, and has had no answer since
 	silentCalls    int          // consecutive calls of the watch without an answer
@@ -76,14 +77,14 @@
 	Notify     func(proxy.WatchEvent) // called on the loop with each change of the list and reported failure
 }
 
-// NewClient returns a client. It makes no call until FollowAgent, WatchList, Redirect or FetchList is called.
+// NewClient returns a client of discovery. It makes no call until FollowAgent, WatchList, Redirect or FetchList is called.
 func NewClient(l *netio.Loop, d *netio.Dialer, o Options) *Client {
 	watchTimeout := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.ProxyCount)*watchTimeoutPerProxy))
 	return &Client{loop: l, dialer: d, address: o.Address, watchTimeout: watchTimeout, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
 }
 
 // FollowAgent turns on a watch of an agent on this machine, to which discovery pushes its lists, without a
-// request of the decision module. A call that fails is repeated after agentRetryPause and not reported: the
+// request of the decision module, which otherwise decides when to watch. A call that fails is repeated after agentRetryPause and not reported: the
 // agent is silent while discovery is silent, and the client then has the latest list.
 func (c *Client) FollowAgent() {
 	c.followsAgent, c.watchTimeout, c.answerTimeout = true, agentWatchTimeout, agentAnswerTimeout
@@ -135,8 +136,9 @@
 	c.callWatch()
 }
 
-// callWatch makes the next call of the watch. It is made right after an answer, because discovery ends a
-// watch whose next call does not arrive within 200 ms of the last answer.
+// callWatch makes the next call of the watch. Without a list it calls for the complete list. The
+// next call is made right after an answer, because discovery ends a watch whose next call does not arrive
+// within 200 ms of the last answer.
 func (c *Client) callWatch() {
 	target, timeout := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
 	if c.revision < 0 {
@@ -188,7 +190,7 @@
 
 // fullListWait returns the timeout of a call for the complete list. An agent on this machine answers at once
 // or is silent, so the timeout is short. It doubles with each consecutive silent call, up to fullListTimeout,
-// in case the list is so large that it takes longer.
+// in case the list is so large that its transfer takes longer.
 func (c *Client) fullListWait() time.Duration {
 	if !c.followsAgent {
 		return fullListTimeout
@@ -196,8 +198,8 @@
 	return min(fullListTimeout, c.answerTimeout<<min(c.silentCalls, 6))
 }
 
-// reopen repeats the call of a silent watch at once, because the decision module's pause grows with the fleet
-// and the list is due sooner. The watches of a fleet fall silent at different times, so their calls do not
+// reopen repeats the call of a silent watch at once, because the decision module's pause grows with the
+// number of proxies and the list is due sooner. The watches of different proxies fall silent at different times, so their calls do not
 // come together. The idle connection is closed, since it may have died like the one that was used. A second
 // failure is reported.
 func (c *Client) reopen() {
--- a/internal/dataplane/cluster/failure.go
+++ b/internal/dataplane/cluster/failure.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// errBadStatus is the error for a response whose status is not 200.
+// errBadStatus is the error for a response whose HTTP status is not 200. The status follows its text.
 var errBadStatus = errors.New("status")
 
 // failureReason is the reason in the log why a call to discovery failed.
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -25,14 +25,14 @@
 type response struct {
 	status int
 	body   []byte
-	length int  // bytes of input, the head included
+	length int  // bytes of input that the response takes up, the head included
 	closes bool // the connection carries no further response
 }
 
 // parseResponse parses one HTTP/1.1 response. It returns nil and no error while the response is incomplete.
 // ended reports whether the connection has ended, which completes a response without a stated length. It
 // parses from the start of the input each time, so that the result cannot depend on how the input was
-// split. The input is bounded, which limits the cost.
+// split. The limits on the head and the body bound the cost of that.
 func parseResponse(in []byte, ended bool) (*response, error) {
 	end := bytes.Index(in[:min(len(in), maxHeadBytes)], []byte("\r\n\r\n"))
 	if end < 0 {
@@ -122,13 +122,13 @@
 	return nil
 }
 
-// readBody reads the body from in, which starts after the head. It returns nil and no error if the body is
-// not complete. The length of the result excludes the head.
+// readBody reads the body from in, the input after the head. It returns nil and no error if the body is
+// not complete. ended reports whether the connection has ended. The length of the result excludes the head.
 func (h *responseHead) readBody(in []byte, ended bool) (*response, error) {
 	r := &response{status: h.status, closes: h.closes}
 	switch {
 	case h.status == 204 || h.status == 304:
-		return r, nil
+		return r, nil // these never have a body
 	case h.chunked:
 		body, length, err := readChunks(in)
 		if err != nil || length == 0 {
--- a/internal/dataplane/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -10,7 +10,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// list is discovery's JSON form of an endpoint list, or of a change of it if All is false.
+// list is discovery's JSON form of an endpoint list, or of a change of one if All is false. Rev is the
+// list's revision; nil means that the field is missing.
 type list struct {
 	Rev     *int64  `json:"rev"`
 	All     bool    `json:"all"`
@@ -26,7 +27,7 @@
 	Group    int     `json:"pod_group"`
 	State    string  `json:"state"`
 	Weight   float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"`
+	BootMS   int64   `json:"boot_ms"` // the host's start, as Unix time in milliseconds; 0 if unknown
 }
 
 // hostStates maps discovery's names of host states.
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -1,7 +1,8 @@
 // Package handshake decides which TLS handshakes may begin, and when. It does no I/O and reads no
 // clock: callers pass in the time in nanoseconds, and the same calls return the same results.
 //
-// A handshake costs far more CPU than a relayed line, and a drain causes many at once. The budget
+// A handshake costs far more CPU than a relayed line, and the drain of a host or of another proxy causes
+// many at once. The budget
 // limits the CPU that they take from established connections (a share of a core), the full
 // handshakes per second of one host and of all, and how many are in flight. Hosts take turns, so
 // that a slow or popular host does not delay the others. Enqueue rejects a handshake at once if it
@@ -27,12 +28,12 @@
 	MaxInFlight        int           // handshakes in flight with all hosts together
 	MaxInFlightPerHost int           // handshakes in flight with one host
 	Burst              time.Duration // how long unused budget accumulates
-	MaxQueued          int           // requests in the queue
-	ResumedFactor      float64       // weight of a resumed handshake against the rates; a full one has weight 1
+	MaxQueued          int           // waiting handshakes of all hosts together
+	ResumedFactor      float64       // weight of a handshake that resumes a session against the rates; a full one has weight 1
 }
 
 // Defaults returns the limits that apply without a settings file: about a third of a core, and no
-// more handshakes for a host than it can do by itself.
+// more handshakes with one host than that host can compute by itself.
 func Defaults() Limits {
 	return Limits{CPUShare: 0.35, Rate: 600, HostRate: 200, MaxInFlight: 16, MaxInFlightPerHost: 4, Burst: 100 * time.Millisecond,
 		MaxQueued: 4096, ResumedFactor: 0.5}
@@ -45,7 +46,7 @@
 	QueueFull                    // the queue holds Limits.MaxQueued requests
 )
 
-// Estimates of one handshake, in nanoseconds.
+// Estimates of the cost of one handshake, in nanoseconds.
 const (
 	initialCPU      = float64(700 * time.Microsecond) // initial mean of the CPU time, before the first samples
 	initialDuration = float64(3 * time.Millisecond)   // initial mean of the duration, before the first samples
@@ -74,19 +75,19 @@
 type host struct {
 	name       string
 	rate       tokenBucket
-	queue      []*request
-	inFlight   int
-	inRotation bool // the host is in Budget.rotation
+	queue      []*request // waiting, the oldest first
+	inFlight   int        // number of handshakes in flight
+	inRotation bool       // the host is in Budget.rotation
 }
 
 // request is a handshake that waits or is in flight.
 type request struct {
 	requestID  uint64
 	host       *host
-	resumed    bool
-	deadline   int64   // nanoseconds
-	chargedCPU float64 // CPU time charged to Budget.cpu at the beginning, in nanoseconds
-	beganAt    int64   // nanoseconds
+	resumed    bool    // whether a session is available to resume
+	deadline   int64   // time by which the handshake must be done, in nanoseconds
+	chargedCPU float64 // CPU time charged to Budget.cpu when the handshake began, in nanoseconds
+	beganAt    int64   // time at which the handshake began, in nanoseconds; 0 while it waits
 }
 
 // New returns a Budget whose buckets are full at time now.
@@ -107,7 +108,7 @@
 	return 0
 }
 
-// weight returns how much a handshake counts against the rates.
+// weight returns how many full handshakes a handshake counts as against the rates.
 func (b *Budget) weight(resumed bool) float64 {
 	if resumed {
 		return b.limits.ResumedFactor
@@ -180,7 +181,8 @@
 	return math.Max(longest, b.cpu.timeUntil(cpu))
 }
 
-// Drop removes a waiting request. It does nothing if the handshake has begun, which Done must end.
+// Drop removes a waiting request. It does nothing if the handshake has begun; Done must end such a
+// handshake.
 func (b *Budget) Drop(id uint64) {
 	r := b.waiting[id]
 	if r == nil {
--- a/internal/dataplane/handshake/rejectreason.go
+++ b/internal/dataplane/handshake/rejectreason.go
@@ -1,7 +1,7 @@
 package handshake
 
-// RejectReason is the reason for which Enqueue rejected a handshake, or NotRejected if it queued
-// the handshake.
+// RejectReason is the reason for which Budget.Enqueue rejected a handshake, or NotRejected if Enqueue
+// queued the handshake.
 type RejectReason int
 
 var rejectReasonTexts = [...]string{"none", "no time left in the handshake budget", "too many handshakes wait"}
--- a/internal/dataplane/invariant/checks.go
+++ b/internal/dataplane/invariant/checks.go
@@ -7,7 +7,8 @@
 )
 
 // CheckAttempt returns the rule that forbids the request to begin another attempt at h at time now,
-// or None if the attempt may begin. It counts a blocked attempt.
+// or None if the attempt may begin. It counts a blocked attempt. now and all times of this package are
+// in nanoseconds of the caller's clock.
 func (r *Request) CheckAttempt(now int64, h Host) Rule {
 	rule := r.checkSend(now, h)
 	if rule == None {
@@ -25,8 +26,8 @@
 	return r.Monitor.countBlocked(r.checkSend(now, h))
 }
 
-// checkSend returns the rule that forbids sending to h at time now, or None. These rules apply when
-// an attempt begins and again when its first line is written.
+// checkSend returns the rule that forbids sending the request to h at time now, or None. These rules
+// apply when an attempt begins and again when its first line, the request line, is written.
 func (r *Request) checkSend(now int64, h Host) Rule {
 	switch {
 	case r.isOver():
@@ -57,8 +58,8 @@
 	return None
 }
 
-// sharesDedupMemory reports whether h shares its dedup memory with the host of the first attempt
-// that may have run, so that it discards a retry.
+// sharesDedupMemory reports whether h shares its dedup memory, the record of idempotency keys that have
+// run, with the host of the first attempt that may have run. If so, h discards a retry.
 func (r *Request) sharesDedupMemory(h Host) bool {
 	switch r.Class.DedupScope {
 	case balancer.ScopeZone:
@@ -78,7 +79,8 @@
 	return None
 }
 
-// RetryUntil returns the time, in nanoseconds, from which no first line may be written. Hosts
+// RetryUntil returns the time, in nanoseconds of the caller's clock, from which no first line may be
+// written. Hosts
 // discard retries with an idempotency key during the dedup window, which begins with the first
 // attempt that may have run; a request retried later would run twice. RetryUntil returns
 // math.MaxInt64 if there is no limit.
@@ -94,13 +96,13 @@
 
 // MayReject reports whether the request may be rejected. A rejection promises that a retry by the
 // client, at any host, is harmless. If the request may have run, that is true only if a second run
-// has no effect or all hosts discard it.
+// has no effect or all hosts discard a second run.
 func (r *Request) MayReject() bool {
 	return !r.MayHaveRun() || r.Class.Idempotency == balancer.Idempotent || r.Class.Idempotency == balancer.IdempotentWithKey && r.Class.DedupScope == balancer.ScopeAll
 }
 
-// MayPlaceAgain reports whether the request may be placed by an instance of the decision module
-// that does not know its earlier attempts.
+// MayPlaceAgain reports whether the request may be placed by a balancer, an instance of the decision
+// module, that does not know the request's earlier attempts. It does not consider an attempt in flight.
 func (r *Request) MayPlaceAgain() bool {
 	return !r.mayHaveRun || r.Class.Idempotency == balancer.Idempotent
 }
--- a/internal/dataplane/invariant/monitor.go
+++ b/internal/dataplane/invariant/monitor.go
@@ -1,6 +1,7 @@
 package invariant
 
-// Counts holds, by Rule, how many actions broke the rule and how many it blocked.
+// Counts holds, by Rule, how many actions broke the rule (were carried out although it forbids them)
+// and how many the rule blocked (were not carried out).
 type Counts struct {
 	Broken, Blocked [ruleCount]int64
 }
@@ -18,8 +19,8 @@
 // concurrent use.
 type Monitor struct {
 	Counts Counts
-	closed bool // no work may begin any more; see Close
-	report func(r Rule, id string)
+	closed bool                    // Close was called: no attempt or first line may begin any more
+	report func(r Rule, id string) // called for each action that broke a rule; id is the request's
 }
 
 // NewMonitor returns a Monitor that calls report, with the request's ID, for each action that broke
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -1,7 +1,8 @@
 package invariant
 
-// AttemptBegan records that an attempt at h begins at time now. It counts a broken rule; for the
-// rules that depend on time it allows for a pause of MaxPause since the decision.
+// AttemptBegan records that an attempt at h begins at time now. If a rule forbids the attempt, it counts
+// the rule as broken, one at most. For the rules that depend on time it allows for a pause of the
+// process of MaxPause since the caller checked them.
 func (r *Request) AttemptBegan(now int64, h Host) {
 	rule := r.checkAttemptLimit()
 	if r.attemptInFlight {
@@ -17,7 +18,7 @@
 
 // LineWritten records that the last byte of the attempt's first line has been written, so that its
 // host may act on it. begun is the time at which the attempt began; h is the host's present state.
-// LineWritten counts broken rules and allows for MaxPause as AttemptBegan does.
+// LineWritten counts broken rules, and allows for a pause of MaxPause as AttemptBegan does.
 func (r *Request) LineWritten(now, begun int64, h Host) {
 	if !r.attemptInFlight || r.lineWritten {
 		r.Monitor.countBroken(SingleAttempt, r.ID)
@@ -45,7 +46,8 @@
 // connection over to this process.
 func (r *Request) TakenOver() { r.client = established }
 
-// Accepted records that the host's acceptance is sent to the client, which is its answer.
+// Accepted records that the host's acceptance, the client's answer, is sent to the client. A client that
+// has left stays so.
 func (r *Request) Accepted(now int64) {
 	r.recordAnswer(now)
 	if r.client != clientLeft {
@@ -64,8 +66,9 @@
 	r.recordAnswer(now)
 }
 
-// recordAnswer records an answer. It counts a second answer as breaking SingleAnswer, and one that
-// comes more than answerSlack after the deadline as breaking AnswerInTime.
+// recordAnswer records an answer at time now. It counts an answer to a request that has its answer, or
+// whose client has left, as breaking SingleAnswer, and an answer that comes more than answerSlack after
+// the deadline as breaking AnswerInTime.
 func (r *Request) recordAnswer(now int64) {
 	if r.client != awaitingAnswer {
 		r.Monitor.countBroken(SingleAnswer, r.ID)
@@ -77,7 +80,7 @@
 	r.client = answered
 }
 
-// ClientLeft records that the client has ended the connection.
+// ClientLeft records that the client's connection has ended.
 func (r *Request) ClientLeft() { r.client = clientLeft }
 
 // ConnectionEnded records that the open connection ended in order: it was migrated or handed over,
--- a/internal/dataplane/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -20,7 +20,7 @@
 type Host struct {
 	State balancer.HostState
 	Zone  string
-	Cell  int
+	Cell  int // the host's group of hosts that share a dedup memory with ScopeCell, as discovery numbers it
 }
 
 // clientState is the state of a request as its client sees it.
@@ -55,14 +55,14 @@
 	ID          string
 	Class       *balancer.Class
 	Deadline    int64 // ns, on the caller's clock
-	MaxAttempts int
-	// Adopted marks a request whose connection was open at its host before. It goes to no other
-	// host. The host need not be ready, because a draining host still accepts such a request.
+	MaxAttempts int   // math.MaxInt means no limit
+	// Adopted marks a request whose connection was open at its host before this proxy's start. It goes
+	// to no other host. The host need not be ready, because a draining host still accepts such a request.
 	Adopted bool
 
 	client          clientState
 	attemptsBegun   int
-	attemptInFlight bool
+	attemptInFlight bool // AttemptBegan was called, and AttemptEnded was not called for that attempt yet
 	lineWritten     bool // the first line of the latest attempt has been written completely
 	mayHaveRun      bool // an attempt that has ended may have run
 	// firstRunAt is the start, in nanoseconds, of the first attempt that may have run. Hosts count
--- a/internal/dataplane/invariant/rule.go
+++ b/internal/dataplane/invariant/rule.go
@@ -1,4 +1,5 @@
-// Package invariant holds the rules that no action on a request may break.
+// Package invariant holds the rules that no action on a request may break. An action is the start of
+// an attempt to serve the request at a host, the writing of its first line, or an answer to the client.
 //
 // The caller queries a Request before an action (CheckAttempt, CheckWrite, MayReject,
 // MayPlaceAgain) and does not carry out what a rule forbids. It also notifies the Request of each
@@ -14,7 +15,7 @@
 const (
 	None                 Rule = iota
 	RequestOver               // no attempt begins or is written for a request that is answered, or whose client has left
-	SingleAttempt             // one attempt is in flight at a time
+	SingleAttempt             // at most one attempt is in flight at a time, and each writes its first line once
 	AttemptLimit              // a request has at most MaxAttempts attempts
 	BeforeDeadline            // no attempt begins or is written at the deadline or later
 	HostAcceptsNew            // no new request goes to a host that is draining, removed or suspended
--- a/internal/dataplane/lineproto/connector.go
+++ b/internal/dataplane/lineproto/connector.go
@@ -25,7 +25,7 @@
 type Connector struct {
 	loop   *netio.Loop
 	open   Opener
-	fields []string // of the load reports at the end of answers; empty if hosts send none
+	fields []string // names of the fields of load reports at the end of answers; empty if hosts send none
 }
 
 // NewConnector returns a connector that opens connections with open. fields are the load report fields
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -19,7 +19,7 @@
 	idleEntry *list.Element  // in front.idleClients; nil once the connection has a request
 	admitted  bool           // the core counts the connection
 	accepted  bool           // a host has accepted the request
-	pinged    bool           // the client has sent PING
+	pinged    bool           // the client has sent PING, as the platform's front does to check this process
 }
 
 var _ proxy.Downstream = (*downstream)(nil)
@@ -184,12 +184,12 @@
 	d.Reject(d.front.core.DefaultRetryAfter())
 }
 
-// evict ends a connection without a request at once, to free its capacity for the next one.
+// evict ends a connection at once, after an answer to a request that may be in flight, to free its capacity.
 func (d *downstream) evict() {
 	d.idleTimer.Stop()
 	d.logIdleEnd(evictedForNewClient)
 	switch {
-	case d.conn.Ended():
+	case d.conn.Ended(): // no line can be sent
 	case len(d.conn.Input()) > 0:
 		d.conn.Write(errLine)
 	case !d.pinged:
@@ -199,7 +199,7 @@
 	d.descriptorFreed()
 }
 
-// finish ends the connection after the lines that have been written.
+// finish ends the connection once the lines that have been written are sent.
 func (d *downstream) finish() {
 	d.idleTimer.Stop()
 	d.conn.Finish()
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -10,10 +10,10 @@
 
 const (
 	// firstLineTimeout bounds the time from connecting to a complete first line, in however many pieces
-	// it arrives. The protocol requires that a connection without one ends within 3 s.
+	// it arrives. The protocol requires that a connection without a complete first line ends within 3 s.
 	firstLineTimeout = 2500 * time.Millisecond
-	// pingIdleTimeout bounds the idle time of a connection after a PING. The platform's front may keep
-	// such a connection.
+	// pingIdleTimeout bounds the idle time of a connection after a PING. The platform's own front, which
+	// routes clients to the proxies and probes them by PING, may keep such a connection.
 	pingIdleTimeout = 30 * time.Second
 )
 
@@ -34,8 +34,8 @@
 // Addr returns the address of the listener.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// NewFront returns a front for the clients of a listener, with capacity for maxIdle connections without a
-// request. It accepts none until Serve is called.
+// NewFront returns a Front for the clients of a listener, with capacity for maxIdle connections without a
+// request. It accepts no clients until Serve is called.
 func NewFront(l *netio.Loop, core *proxy.Core, listener *netio.Listener, maxIdle int) *Front {
 	return &Front{loop: l, core: core, idleClients: netio.NewBoundedConns(maxIdle, (*downstream).evict), listener: listener}
 }
@@ -66,7 +66,7 @@
 	return f.idleClients.Len()
 }
 
-// Resume resumes an open connection, with its request, that another process has handed over.
+// Resume resumes an open connection, with its request, that another process of this proxy has handed over.
 func (f *Front) Resume(connection *proxy.HandedOverConnection) {
 	d := &downstream{front: f, admitted: true, accepted: true}
 	u := &upstream{loop: f.loop, stage: netio.Up}
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -26,10 +26,10 @@
 type HealthChecks struct {
 	loop           *netio.Loop
 	open           Opener
-	fields         []string // of a load report, as the settings name them
+	fields         []string // the fields of a load report, as the settings name them
 	maxConnections int
 	byHost         map[string]*hostCheck
-	denied         bool // a host has answered NO, so this process checks no host any more
+	denied         bool // a host has answered NO (health checks are not permitted), so this process checks no host any more
 }
 
 // NewHealthChecks returns a health checker that uses at most maxConnections at a time. fields are the load
@@ -94,8 +94,8 @@
 	}
 }
 
-// evictIdle closes the least recently used idle connection if there are maxConnections. It returns false
-// if all of them are in use.
+// evictIdle makes room for one more connection: it closes the least recently used idle connection if there
+// are maxConnections. It returns false if there is no room because all of them are in use.
 func (h *HealthChecks) evictIdle() bool {
 	if len(h.byHost) < h.maxConnections {
 		return true
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -41,7 +41,7 @@
 // trimLineEnd returns a line without its CRLF.
 func trimLineEnd(line []byte) []byte { return bytes.TrimSuffix(line, []byte("\r\n")) }
 
-// cutField splits a line, without its CRLF, at the first blank.
+// cutField splits a line, without its CRLF, at the first blank. The second part is empty if there is none.
 func cutField(line []byte) (string, string) {
 	first, rest, _ := strings.Cut(string(trimLineEnd(line)), " ")
 	return first, rest
@@ -51,7 +51,7 @@
 type OpenLine struct {
 	proxy.Opening
 	line               []byte // as received, CRLF included
-	waitStart, waitEnd int    // offsets of the value of d in line; waitEnd is 0 if there is no d
+	waitStart, waitEnd int    // offsets in line of the value of the field d, the wait in milliseconds; waitEnd is 0 if there is no d
 }
 
 // ParseOpenLine parses a client's first line. It does not retain line. It is strict about the form of the
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -13,8 +13,8 @@
 	loop          *netio.Loop
 	events        proxy.UpstreamEvents
 	requestLine   proxy.RequestLine
-	reportFields  []string     // of the load report at the end of an answer; empty if hosts send none
-	deadline      int64        // end of the wait for the host's answer, as Unix time in nanoseconds
+	reportFields  []string     // names of the fields of load reports at the end of answers; empty if hosts send none
+	deadline      int64        // when the wait for the host's answer ends, as Unix time in nanoseconds
 	cancelDial    func()       // nil unless the connection is being opened
 	conn          *netio.Conn  // nil until the connection is established
 	stage         netio.Stage  // progress of the request
@@ -24,8 +24,8 @@
 
 var _ proxy.Upstream = (*upstream)(nil)
 
-// connected sends the request line on the new connection, or reports that connecting has failed. It closes
-// the connection if the line may not be sent any more.
+// connected sends the request line on the new connection c, or reports err, because of which there is no
+// connection. It closes the connection if the request line may not be sent any more.
 func (u *upstream) connected(c *netio.Conn, err *netio.Error) {
 	u.cancelDial = nil
 	if err != nil {
--- a/internal/dataplane/netio/attach.go
+++ b/internal/dataplane/netio/attach.go
@@ -19,7 +19,7 @@
 type pollerEnvironment struct {
 	sync.Mutex
 	loop    *Loop          // guarded by the mutex; replaced by each Attach
-	barrier *pollerBarrier // set by the first Attach
+	barrier *pollerBarrier // parks the poller; set by the first Attach
 	gate    *loopGate      // set by the first Attach
 }
 
@@ -66,13 +66,15 @@
 	return err
 }
 
-// The limits for starting the poller again after a failure.
+// maxPollerStarts is how many times in all the start of the poller is tried, with pollerStartPause after
+// each failure.
 const (
 	maxPollerStarts  = 50
 	pollerStartPause = 20 * time.Millisecond
 )
 
-// startPoller makes netpoll open its poller, and retries up to maxPollerStarts times. By default netpoll
+// startPoller makes netpoll open its poller. It tries up to maxPollerStarts times, and returns the error of
+// the last one. By default netpoll
 // opens it on first use, on any goroutine, and panics if the kernel has no resources for it.
 func startPoller(c netpoll.Config) (err error) {
 	for range maxPollerStarts {
--- a/internal/dataplane/netio/bounded.go
+++ b/internal/dataplane/netio/bounded.go
@@ -6,11 +6,11 @@
 )
 
 // BoundedConns is a set of connections that hold a descriptor without a request. Its capacity is separate,
-// so that hundreds of silent connections use no descriptor that a request needs. When it is full, Add
+// so that hundreds of silent connections use no file descriptor that a request needs. When it is full, Add
 // evicts the connection that was added or touched longest ago.
 type BoundedConns[C any] struct {
 	capacity int
-	evict    func(C)   // must end the connection and call Remove
+	evict    func(C)   // ends the connection and calls Remove
 	conns    list.List // of C, the next to be evicted first
 }
 
--- a/internal/dataplane/netio/buffer.go
+++ b/internal/dataplane/netio/buffer.go
@@ -8,8 +8,8 @@
 // idle connections do not each keep their largest size.
 type Buffer struct {
 	data  []byte
-	start int
-	limit int
+	start int // offset of the content in data; the bytes before it are consumed
+	limit int // maximum size of the content in bytes
 }
 
 // NewBuffer returns a buffer that holds up to limit bytes.
--- a/internal/dataplane/netio/conn.go
+++ b/internal/dataplane/netio/conn.go
@@ -24,7 +24,7 @@
 	Closed(c *Conn, err *Error)
 }
 
-// inputOvershoot is how many bytes netpoll may read beyond a connection's limit before it stops: those
+// inputOvershoot is how many bytes netpoll may read beyond a connection's input limit before it stops: those
 // of one read, and those that arrive while it releases the socket.
 const inputOvershoot = 8 * kernelBuffer
 
@@ -44,14 +44,14 @@
 	handler         Handler
 	transport       netpoll.Connection // nil until netpoll first watches the socket
 	input           Buffer
-	layer           Layer // nil if there is none
-	layerHasMore    bool  // the layer may hold more than fitted into the input
-	inputLimit      int   // bytes of input at which reading pauses
-	paused          bool  // netpoll does not watch the socket
-	refillScheduled bool  // a task that reads from the layer is queued
-	watchFailures   int   // consecutive failures to register the socket with the poller
-	output          unsentOutput
-	ended           bool // Closed was called, or this side closed
+	layer           Layer        // nil if there is none
+	layerHasMore    bool         // the layer may hold more than fitted into the input
+	inputLimit      int          // bytes of input at which reading pauses
+	paused          bool         // netpoll does not watch the socket
+	refillScheduled bool         // a task that reads from the layer is queued
+	watchFailures   int          // consecutive failures to register the socket with the poller
+	output          unsentOutput // the bytes that the kernel has not accepted yet
+	ended           bool         // Closed was called, or this side closed
 	ending          endingState
 	// onDescriptorFree is called once the connection holds no descriptor. It may be nil.
 	onDescriptorFree func()
@@ -65,8 +65,8 @@
 type unsentOutput struct {
 	unsent        []byte
 	retryTimer    *Timer
-	retryPause    time.Duration
-	stallDeadline int64 // Unix time in ns at which the connection ends if bytes are still unsent
+	retryPause    time.Duration // pause before the kernel is offered the bytes again
+	stallDeadline int64         // Unix time in ns at which the connection ends if bytes are still unsent
 }
 
 // endingState is the state of a connection that this side is closing.
@@ -74,7 +74,7 @@
 	unsentDeadline int64 // Unix time in ns until which unsent bytes may still go out
 	abort          bool  // Abort was called
 	finishing      bool  // Finish was called, and the socket is still open
-	discardedBytes int   // input that arrived after the end
+	discardedBytes int   // bytes of input that arrived after this side's end and were discarded
 	lingerTimer    *Timer
 }
 
@@ -150,7 +150,7 @@
 // Ended reports whether the connection has ended, from either side.
 func (c *Conn) Ended() bool { return c.ended }
 
-// guard calls f. If f panics, it ends this connection alone, so that a request waiting on the
+// guard calls f. If f panics, guard ends this connection and no other, so that a request waiting on the
 // connection still gets its answer.
 func (c *Conn) guard(f func()) {
 	defer func() {
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -31,15 +31,16 @@
 type Dial struct {
 	dialer   *Dialer
 	addr     string
-	limit    int
+	limit    int   // bytes of input at which reading pauses
 	deadline int64 // Unix time in nanoseconds
 	handler  Handler
 	done     func(*Conn, *Error)
-	ended    bool // done or Cancel was called; guarded by the dialer's mu
-	expiry   *Timer
+	ended    bool   // done or Cancel was called; guarded by the dialer's mu
+	expiry   *Timer // ends the dial at its deadline
 }
 
-// NewDialer returns a dialer that makes up to n dials at a time, on n goroutines.
+// NewDialer returns a dialer that makes up to n dials at a time, on n goroutines, which it starts and
+// which run as long as the process. Connections are driven on l.
 func NewDialer(l *Loop, n int) *Dialer {
 	d := &Dialer{loop: l, dialsPerAddress: map[string]int{}, maxPerAddress: max(1, n/4), dial: netpoll.DialConnection}
 	d.ready = sync.NewCond(&d.mu)
@@ -82,7 +83,8 @@
 	return !alreadyEnded
 }
 
-// finish calls done with the connection or the error. It closes np if the dial has already ended.
+// finish ends the dial and calls done with the connection made from np, or with the error. If the dial has
+// already ended, finish only closes np.
 func (q *Dial) finish(np netpoll.Connection, err *Error) {
 	if !q.markEnded() {
 		if np != nil {
@@ -112,7 +114,7 @@
 		var found *Dial
 		for _, q := range d.waiting {
 			switch {
-			case q.ended:
+			case q.ended: // dropped from the queue
 			case found == nil && d.dialsPerAddress[q.addr] < d.maxPerAddress:
 				found = q
 			default:
@@ -129,8 +131,9 @@
 	}
 }
 
-// connect opens the connection before the dial's deadline. It retries a connect for which this machine
-// has no descriptor, port or memory: the host must not be ejected for a fault that is not its own.
+// connect opens the connection before the dial's deadline. It retries a connect that fails because this
+// machine has no descriptor, port or memory left. Otherwise the host would be ejected (get no requests)
+// for a shortage on this machine.
 func (d *Dialer) connect(q *Dial) (np netpoll.Connection, err error) {
 	err = errors.New("the dial ended before a connect was made")
 	for {
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// lingerTimeout bounds how long an ended connection waits to deliver its last line and for its peer to hang up.
+// lingerTimeout bounds how long an ended connection waits until its last line is sent and its peer hangs up.
 const lingerTimeout = time.Second
 
 // maxLingerInput bounds the input, in bytes, discarded after Finish. A peer that sends more is not reading.
@@ -26,7 +26,7 @@
 		c.finishPause(np)
 		return nil
 	}
-	kept := c.socket.fd >= 0 && c.keepDescriptor()
+	kept := c.socket.fd >= 0 && c.keepDescriptor() // netpoll closed it, but neither side ended it
 	if c.socket.fd >= 0 && !kept {
 		cause = c.endCause()
 		c.socket.fd = -1 // another connection may get the number from here on
@@ -113,7 +113,8 @@
 	c.retryWatch(errPollerDropped)
 }
 
-// closeSocket closes the socket, or leaves that to finishPause while netpoll is detaching the socket.
+// closeSocket closes the socket, with a reset after Abort. While netpoll is detaching the socket, it leaves
+// the closing to finishPause.
 func (c *Conn) closeSocket() {
 	c.ending.lingerTimer.Stop()
 	c.ending.finishing = false
@@ -204,7 +205,7 @@
 }
 
 // Finish closes the direction to the peer after the last line, and discards input until the peer hangs up or
-// lingerTimeout passes. Close would send a reset if input is unread, and the reset can overtake the line.
+// lingerTimeout passes. Close would send a reset if input is unread, and the reset can overtake the last line.
 func (c *Conn) Finish() {
 	if c.ended {
 		return
--- a/internal/dataplane/netio/errors.go
+++ b/internal/dataplane/netio/errors.go
@@ -11,7 +11,7 @@
 	Connecting Stage = iota // the connection is not established yet
 	Sending                 // the connection is established, the first line is not completely written
 	Sent                    // the first line is completely written
-	Up                      // the peer has accepted
+	Up                      // the peer has accepted the request
 )
 
 var stageNames = [...]string{"connecting", "sending", "sent", "up"}
@@ -24,7 +24,7 @@
 
 // The causes.
 const (
-	Ended        Cause = iota // the peer ended its side in order
+	Ended        Cause = iota // the peer ended its side in order; passed to another connection, to end it in order too
 	Broken                    // the connection was reset, or the system reports it as dead
 	Refused                   // the connection was never established
 	TimedOut                  // the connection was not established in time
@@ -43,7 +43,7 @@
 	Detail error // the error of the system or the parser; may be nil
 }
 
-// Error returns the cause, the stage and, if there is one, the detail.
+// Error returns the cause, the stage and, if it is not nil, the detail.
 func (e *Error) Error() string {
 	if e.Detail != nil {
 		return fmt.Sprintf("%s while %s: %v", e.Cause, e.Stage, e.Detail)
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -86,8 +86,9 @@
 	c.readLayer(limit)
 }
 
-// readLayer fills the input from the layer up to limit bytes and calls the handler. It repeats that
-// while the handler makes room and the layer has more.
+// readLayer fills the input from the layer up to limit bytes and calls the handler if bytes were added. It
+// repeats that while the handler makes room and the layer has more. An error or the end of the layer ends
+// the connection.
 func (c *Conn) readLayer(limit int) {
 	c.guard(func() {
 		for !c.ended {
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -136,7 +136,8 @@
 	return n.Addr(), Serve(l, n, limit, accept)
 }
 
-// The limits for starting netpoll's accept loop again after it has failed.
+// maxListenerFailures is how many times in all netpoll's accept loop may fail until the process exits, with
+// listenerRetryPause after each failure.
 const (
 	maxListenerFailures = 50
 	listenerRetryPause  = 100 * time.Millisecond
--- a/internal/dataplane/netio/loop.go
+++ b/internal/dataplane/netio/loop.go
@@ -89,7 +89,7 @@
 }
 
 // RunPending runs the queued tasks and the due timers, and the tasks that those queue, without waiting.
-// It returns the time until the next timer is due.
+// It returns the time until the next timer is due, an hour if there is none, and 0 once Stop takes effect.
 func (l *Loop) RunPending() time.Duration {
 	for !l.stopped {
 		l.mu.Lock()
@@ -134,7 +134,7 @@
 	return time.Hour
 }
 
-// Timer is a pending call. Stop does nothing on a nil Timer.
+// Timer is a pending call of a function by the loop. Stop does nothing on a nil Timer.
 type Timer struct {
 	due       int64  // Unix time in nanoseconds
 	order     uint64 // timers due at the same time fire in the order in which they were set
--- a/internal/dataplane/netio/loopgate.go
+++ b/internal/dataplane/netio/loopgate.go
@@ -15,7 +15,7 @@
 	pollerParked atomic.Bool // runOnLoop is then called by the loop, which must not wait for itself
 
 	mu       sync.Mutex
-	taskDone chan struct{} // closed when the poller may continue; nil if the loop runs no task for it
+	taskDone chan struct{} // closed when the poller may continue; nil if the loop runs no task for the poller
 	opened   chan struct{} // closed while the gate is open, because the loop waits for the poller
 }
 
--- a/internal/dataplane/netio/pollerbarrier.go
+++ b/internal/dataplane/netio/pollerbarrier.go
@@ -11,7 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollerBarrier makes the loop wait until netpoll's poller has finished the events that it is handling.
+// pollerBarrier makes the event loop wait until netpoll's poller, the goroutine that reads sockets, has
+// finished the events that it is handling, and parks the poller meanwhile.
 //
 // Pausing and resuming a connection require that. netpoll reads a socket for as long as it watches it,
 // so reading is stopped by detaching the socket, and what the poller reads at the same time would be
@@ -37,8 +38,8 @@
 	return b, nil
 }
 
-// barrierRetryPause is the pause before netpoll is made to watch the barrier again. The loop may wait
-// meanwhile.
+// barrierRetryPause is the pause before netpoll is made to watch the barrier again after a failure. The loop
+// may be blocked in runWhileParked meanwhile.
 const barrierRetryPause = 5 * time.Millisecond
 
 // serve makes netpoll watch the barrier, and never returns. It retries if the kernel has no memory for
--- a/internal/dataplane/netio/read.go
+++ b/internal/dataplane/netio/read.go
@@ -52,8 +52,8 @@
 	return err == nil
 }
 
-// countDiscarded counts input that arrives after the end, and closes the socket of a finishing
-// connection beyond maxLingerInput.
+// countDiscarded counts n bytes of input that arrive after this side has ended the connection. After Finish,
+// it closes the socket once more than maxLingerInput bytes have been discarded.
 func (c *Conn) countDiscarded(n int) {
 	if c.ending.discardedBytes += n; c.ending.finishing && c.ending.discardedBytes > maxLingerInput {
 		c.closeSocket()
@@ -120,8 +120,8 @@
 	return err
 }
 
-// The limits for registering a socket with the poller again after a failure: the kernel may be short of
-// memory for a moment.
+// maxWatchAttempts is how many consecutive times registering a socket with the poller may fail until the
+// connection ends, with watchRetryPause after each failure: the kernel may be short of memory for a moment.
 const (
 	maxWatchAttempts = 20
 	watchRetryPause  = 25 * time.Millisecond
--- a/internal/dataplane/netio/write.go
+++ b/internal/dataplane/netio/write.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The bounds of the backoff before unsent bytes are written again.
+// The bounds of the pause before unsent bytes are written again. The pause doubles each time.
 const (
 	minWriteRetryPause = 2 * time.Millisecond
 	maxWriteRetryPause = 64 * time.Millisecond
--- a/internal/dataplane/upstreamtls/cache.go
+++ b/internal/dataplane/upstreamtls/cache.go
@@ -8,7 +8,7 @@
 )
 
 // sessionKey identifies the sessions that a handshake may resume: those of the same host, verified
-// under the same name, in the same epoch of the files.
+// under the same name, with the same version of the files (epoch; see Material).
 type sessionKey struct {
 	uid   string // the host's ID
 	name  Name
@@ -20,8 +20,8 @@
 type sessionCache struct {
 	mu           sync.Mutex // guards elements and recentlyUsed
 	maxSessions  int
-	elements     map[sessionKey]*list.Element
-	recentlyUsed list.List // of *cachedSession, the most recently used first
+	elements     map[sessionKey]*list.Element // elements of recentlyUsed
+	recentlyUsed list.List                    // of *cachedSession, the most recently used first
 }
 
 // cachedSession is the value of an element of a sessionCache.
@@ -54,7 +54,8 @@
 	return cached.state
 }
 
-// put replaces the session for key. A nil state removes it.
+// put replaces the session for key. A nil state removes the session. A full cache evicts the least
+// recently used session.
 func (c *sessionCache) put(key sessionKey, state *tls.ClientSessionState, validUntil time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dataplane/upstreamtls/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -11,9 +11,9 @@
 // pendingDial is a connection that is being opened. It belongs to the loop.
 type pendingDial struct {
 	dialer     *Dialer
-	requestID  uint64
+	requestID  uint64 // identifies the dial in the handshake budget
 	host       Host
-	inputLimit int   // in bytes
+	inputLimit int   // bytes of buffered input at which reading pauses
 	deadline   int64 // on the loop's clock, in nanoseconds
 	handler    netio.Handler
 	done       func(*netio.Conn, *netio.Error)
@@ -49,8 +49,8 @@
 	return &Failure{Reason: NoBudget, Step: "queue", Err: errors.New(r.String())}
 }
 
-// timedOut fails the dial when its timeout has passed. A dial that is still queued fails for lack of
-// budget.
+// timedOut fails the dial when its timeout has passed. A dial that is still queued fails because the
+// handshake budget did not allow it in time.
 func (d *pendingDial) timedOut() {
 	if d.job == nil {
 		d.dialer.budget.Drop(d.requestID)
@@ -73,7 +73,8 @@
 	d.job.abort()
 }
 
-// markEnded removes the dial from its Dialer, and reports whether the dial had not ended before.
+// markEnded marks the dial as ended, stops its timer and removes it from its Dialer. It reports whether the
+// dial had not ended before.
 func (d *pendingDial) markEnded() bool {
 	endedBefore := d.ended
 	d.ended = true
--- a/internal/dataplane/upstreamtls/dialer.go
+++ b/internal/dataplane/upstreamtls/dialer.go
@@ -15,8 +15,8 @@
 // Host is an upstream host to connect to. Address is "host:port".
 type Host struct{ ID, Zone, Address string }
 
-// kernelBuffer is the size of the receive buffer requested from the kernel for a connection, in bytes,
-// as in netio.
+// kernelBuffer is the size, in bytes, requested for the kernel's receive buffer of a connection. It is that
+// of netio's kernelBuffer.
 const kernelBuffer = 16 << 10
 
 // Dialer opens TLS connections to upstream hosts. Its methods must be called on the loop unless
@@ -24,22 +24,23 @@
 type Dialer struct {
 	loop         *netio.Loop
 	wallClock    func() time.Time
-	material     *Material // used for new connections
+	material     *Material // the loaded certificate, key and trust files, for new connections
 	budget       *handshake.Budget
 	cache        *sessionCache
-	peers        map[string]*tlsPeer     // by host ID; at most maxPeers
-	dials        map[uint64]*pendingDial // queued and in flight, by request ID
-	lastID       uint64                  // the last request ID
+	peers        map[string]*tlsPeer     // TLS configurations by host ID; at most maxPeers
+	dials        map[uint64]*pendingDial // queued and in flight, by the ID of the request to the handshake budget
+	lastID       uint64                  // the last such ID; the first is 1
 	jobs         chan *handshakeJob
-	computeToken chan struct{} // held by the worker that computes; see sealedSocket
-	budgetTimer  *netio.Timer  // calls startAllowed; nil if it is not scheduled
+	computeToken chan struct{} // held by the one worker that computes, so that the loop does not wait for several; see sealedSocket
+	budgetTimer  *netio.Timer  // calls startAllowed; nil if no call is scheduled
 	counts       counts
 	reloads      chan reload // read by watch
 }
 
-// counts are the handshakes since the last log line, and the time this side spent computing them.
+// counts counts the handshakes since logCounts last logged them, and the time that this
+// side spent computing in them.
 type counts struct {
-	full, resumed    int
+	full, resumed    int // handshakes that succeeded, without and with a resumed session
 	totalComputeTime time.Duration
 	failed           map[Reason]int
 }
@@ -48,8 +49,9 @@
 // is cleared; configurations are made again when needed.
 const maxPeers = 4096
 
-// New returns a Dialer with the options that m was loaded from, and starts its workers, one for each
-// handshake that may be in flight. The files are not polled before Run is called.
+// New returns a Dialer that uses m, the loaded certificate, key and trust files, and the options with which
+// m was loaded. It starts the workers, one for each handshake that may be in flight. The files are not
+// polled for changes before Run is called.
 func New(l *netio.Loop, m *Material, wallClock func() time.Time) *Dialer {
 	dialer := &Dialer{loop: l, wallClock: wallClock, material: m, budget: handshake.New(m.options.Handshakes, l.Now()),
 		cache: newSessionCache(m.options.MaxSessions), peers: map[string]*tlsPeer{}, dials: map[uint64]*pendingDial{},
@@ -62,7 +64,9 @@
 	return dialer
 }
 
-// peerFor returns the configuration for connections to a host, or the reason why none can be opened now.
+// peerFor returns the TLS configuration for connections to a host, or the failure because of which none can
+// be opened now: the proxy's own files are at fault, the address is invalid (reported as Unreachable), or
+// no certificate name is specified for the host.
 func (d *Dialer) peerFor(host Host) (*tlsPeer, *Failure) {
 	m := d.material
 	if f := m.OwnFault(d.wallClock()); f != nil {
@@ -88,7 +92,7 @@
 }
 
 // startAllowed starts the handshakes that the budget allows now, and fails those whose deadline comes
-// too soon. It schedules its next call when the budget allows more.
+// too soon. It schedules its next call for the time at which the budget may allow more.
 func (d *Dialer) startAllowed() {
 	ready, expired, nextAfter := d.budget.Next(d.loop.Now())
 	for _, id := range expired {
@@ -101,7 +105,7 @@
 	}
 	d.budgetTimer.Stop()
 	d.budgetTimer = nil
-	if nextAfter > 0 {
+	if nextAfter > 0 { // 0: the budget changes only with Enqueue and Done
 		d.budgetTimer = d.loop.After(nextAfter, d.startAllowed)
 	}
 }
@@ -109,19 +113,19 @@
 // startHandshake passes a dial to a worker. The send does not block, because the channel holds as many
 // jobs as handshakes may be in flight.
 func (d *Dialer) startHandshake(dial *pendingDial) {
-	// The files or the expected name may have changed while the dial was queued.
+	// The certificate files or the expected name may have changed while the dial was queued.
 	p, f := d.peerFor(dial.host)
 	if f != nil {
 		d.loop.Post(func() { dial.fail(f) })
-		d.budget.Done(d.loop.Now(), dial.requestID, false, 0, false)
+		d.budget.Done(d.loop.Now(), dial.requestID, false, 0, false) // not resumed, no CPU time, failed
 		return
 	}
 	dial.job = &handshakeJob{requestID: dial.requestID, peer: p, address: dial.host.Address, deadline: time.Now().Add(time.Duration(dial.deadline - d.loop.Now()))}
 	d.jobs <- dial.job
 }
 
-// logFailure logs and counts a failure. A fault of the proxy's own files affects every host and has a
-// separate log event.
+// logFailure logs and counts why a connection to a host was not established. A fault of the proxy's own certificate, trust or
+// revocation files (Reason.IsOwnFault) affects every host and has a separate log event.
 func (d *Dialer) logFailure(host string, f *Failure) {
 	d.counts.failed[f.Reason]++
 	text := ""
@@ -136,7 +140,7 @@
 }
 
 // logBrokenSession logs why an established connection broke. late reports whether the host rejected the
-// handshake after this side had finished it.
+// handshake after this side had finished it; this is logged and counted as a failed handshake.
 func (d *Dialer) logBrokenSession(host string, f *Failure, late bool) {
 	if late {
 		d.logFailure(host, f)
@@ -145,7 +149,8 @@
 	slog.Warn("tls_broken", "host", host, "reason", string(f.Reason), "detail", f.Err.Error())
 }
 
-// Run starts to poll the files for changes and to log the counts. It does not block.
+// Run starts polling the certificate, key and trust files for changes and logging the counts. It does not
+// block.
 func (d *Dialer) Run() {
 	go d.watch(d.material)
 	d.loop.After(countLogInterval, d.logCounts)
@@ -171,8 +176,9 @@
 	d.counts = counts{failed: map[Reason]int{}}
 }
 
-// SetMaterial makes new connections use m. Open connections are not affected, and sessions of other
-// epochs are no longer resumed.
+// SetMaterial makes new connections use m, the content of changed files. Open connections are not affected.
+// Sessions that were made with other files (another epoch, the number of a version of the files) are no
+// longer resumed.
 func (d *Dialer) SetMaterial(m *Material) {
 	d.material = m
 	clear(d.peers)
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -24,7 +24,7 @@
 	NoBudget       Reason = "no_budget"        // the handshake budget has no capacity before the deadline, or its queue is full
 	NotTLS         Reason = "not_tls"          // the host does not speak TLS
 	OldVersion     Reason = "old_version"      // no TLS version that both sides support
-	NoCertificate  Reason = "no_certificate"   // the host presented none
+	NoCertificate  Reason = "no_certificate"   // the host presented no certificate
 	SelfSigned     Reason = "self_signed"      // self-signed and not trusted
 	UnknownCA      Reason = "unknown_ca"       // not signed by a trusted authority
 	WrongName      Reason = "wrong_name"       // issued for another host
@@ -39,8 +39,8 @@
 	NoExpectedName Reason = "no_name"          // the options specify no name for the host
 	RejectedByHost Reason = "rejected_by_host" // the host rejected this side's certificate or parameters
 
-	OwnCertificateExpired Reason = "own_certificate_expired" // the proxy's certificate
-	OwnTrustUnusable      Reason = "own_trust_unusable"      // the trust bundle or a revocation list
+	OwnCertificateExpired Reason = "own_certificate_expired" // the proxy's certificate has expired
+	OwnTrustUnusable      Reason = "own_trust_unusable"      // no authority is trusted, or a revocation list has expired
 )
 
 // IsOwnFault reports whether the proxy's own files are at fault.
@@ -97,7 +97,7 @@
 }
 
 // classifyTLSError returns the failure for an error of crypto/tls during or after the handshake.
-// received reports whether the peer had sent anything. Errors that crypto/tls does not export are
+// received reports whether the peer had sent anything, which decides the failure's step. Errors that crypto/tls does not export are
 // recognized by their texts.
 func classifyTLSError(err error, received bool) *Failure {
 	var f *Failure
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -15,14 +15,15 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Material is the complete and consistent content of the files. It never changes, except for its cache
-// of verifications; a replacement has a higher epoch. Verifications and sessions of one epoch are not
+// Material is the complete and consistent content of the trust bundles, revocation lists, certificate and
+// key that the options name. It never changes, except for its cache of verifications. When the files
+// change, another Material with a higher epoch replaces it. Verifications and sessions of one epoch are not
 // valid in another.
 type Material struct {
-	Epoch               uint64
+	Epoch               uint64            // the number of this version of the files
 	NotAfter            time.Time         // the earliest end of the proxy's certificate and the revocation lists; zero if there is neither
 	digest              [sha256.Size]byte // of the trust bundles, revocation lists and certificate; the key must match the certificate
-	options             Options
+	options             Options           // those with which it was loaded
 	roots               *x509.CertPool
 	authorities         int // number of certificates in roots
 	revocations         []revocationList
@@ -98,7 +99,7 @@
 	return data
 }
 
-// loadBundle loads the trusted authorities in a file.
+// loadBundle loads the trusted authorities' certificates in a file.
 func (l *loader) loadBundle(path string) {
 	data := l.readFile(path)
 	if data == nil {
@@ -135,7 +136,8 @@
 	}
 }
 
-// loadCertificate loads the proxy's own certificate chain and key.
+// loadCertificate loads the proxy's own certificate chain and key. A weak certificate, or one that does not
+// allow use by a client, is a fault.
 func (l *loader) loadCertificate(o Options) {
 	l.readFile(o.Certificate)
 	pair, err := certs.LoadPair(o.Certificate, o.Key, o.KeyPasswordFile)
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -26,12 +26,12 @@
 	Certificate, Key, KeyPasswordFile string
 	MinVersion                        string            // oldest accepted version of TLS: "1.2" or "1.3"
 	Pattern, URI                      string            // pattern of the name in a host's certificate; at most one is set
-	Names                             map[string]string // by uid; takes precedence over the pattern
+	Names                             map[string]string // names by the host's ID (uid); take precedence over the pattern
 	KeyExchange                       []string          // keys of keyExchanges, the preferred first
 	ResumeSessions                    bool
-	MaxSessions                       int // cached sessions of all hosts together
-	Expiry                            certexpiry.Policy
-	OnExpiry                          string // "keep", or "move" to migrate connections before a certificate expires
+	MaxSessions                       int               // cached sessions of all hosts together
+	Expiry                            certexpiry.Policy // migrations before a certificate expires
+	OnExpiry                          string            // "keep", or "move" to migrate connections before a certificate expires
 	Handshakes                        handshake.Limits
 }
 
--- a/internal/dataplane/upstreamtls/peer.go
+++ b/internal/dataplane/upstreamtls/peer.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// tlsPeer is the TLS configuration for one host in one epoch. All handshakes with the host share it.
+// tlsPeer is the TLS configuration for one host with one Material, the loaded files of one epoch. All
+// handshakes with the host share it.
 type tlsPeer struct {
 	key             sessionKey
 	material        *Material
@@ -81,7 +82,7 @@
 	return p.config.ClientSessionCache != nil && p.cache.get(p.key, p.wallClock()) != nil
 }
 
-// notAfter returns the earliest end of the certificates of either side of a new connection.
+// notAfter returns the earliest end of validity among the certificates of both sides of a new connection.
 func (p *tlsPeer) notAfter() time.Time {
 	t := time.Unix(0, p.chainValidUntil.Load())
 	if p.material.certificate != nil {
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -114,13 +114,13 @@
 // from a buffer that the loop fills, and writes through the loop.
 type sealedSocket struct {
 	handshakeConn  net.Conn      // nil after the handshake
-	computeToken   chan struct{} // shared by all handshakes; held while this side computes
+	computeToken   chan struct{} // of capacity 1, shared by all handshakes; holds a value while one of them computes
 	hasToken       bool          // whether this socket holds computeToken
 	received       bool          // whether any byte was received
 	computingSince time.Time     // when hasToken was last set
 	computeTime    time.Duration // total time that this side held computeToken
 
-	sealed          netio.Buffer   // received, not yet read by crypto/tls
+	sealed          netio.Buffer   // bytes that were received and that crypto/tls has not read yet
 	recordRemaining int            // bytes of the current record that crypto/tls has not read
 	send            func(p []byte) // nil until attach
 }
@@ -183,7 +183,7 @@
 	return len(p), nil
 }
 
-// acquireToken waits for the token that allows one handshake at a time to compute. When the loop wakes,
+// acquireToken waits for the token that allows one handshake at a time to compute. When the event loop wakes,
 // at most one handshake's computation is then ahead of it in Go's run queue, and not one of each
 // handshake in flight.
 func (w *sealedSocket) acquireToken() {
--- a/internal/dataplane/upstreamtls/verify.go
+++ b/internal/dataplane/upstreamtls/verify.go
@@ -11,7 +11,8 @@
 	"croftlock/internal/operations/certs"
 )
 
-// OwnFault returns the fault of the proxy's own files at now, or nil if they can be used.
+// OwnFault returns the failure of every handshake because of the proxy's own files: no trusted authority, or
+// an expired revocation list or certificate. It returns nil if the files can be used at time now.
 func (m *Material) OwnFault(now time.Time) *Failure {
 	if m.authorities == 0 {
 		return &Failure{Reason: OwnTrustUnusable, Step: "queue", Err: errors.New("no authority is trusted")}
@@ -28,7 +29,7 @@
 }
 
 // Verify verifies the chain that a host presented, leaf first, for a name, and returns until when it is
-// valid. The signatures of a chain are verified once for each epoch and name; its period of validity is
+// valid. The signatures of a chain are verified once for each Material and name; its period of validity is
 // checked every time. Verify may be called from any goroutine.
 func (m *Material) Verify(presented []*x509.Certificate, name Name, now time.Time) (time.Time, error) {
 	if len(presented) == 0 {
--- a/internal/dataplane/upstreamtls/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// filePollInterval is the interval between polls. Replaced files must be in use within 2 s.
+	// filePollInterval is the interval between polls of the certificate, key and trust files. Replaced files
+	// must be in use within 2 s.
 	filePollInterval = 500 * time.Millisecond
 	// rereadAfterChange is how long after a change each poll reads the files, even if they seem
 	// unchanged: two writes in one tick of the file system's clock look like one.
 	rereadAfterChange = 3 * time.Second
 )
 
-// reload is a request to poll at once. The options replace those in use, unless they are nil.
+// reload is a request to read the files at once. The options replace those in use, unless they are nil.
 type reload struct{ options *Options }
 
 // Reload reads the files again at once, with the options o or, if o is nil, with those in use. It does
@@ -65,12 +66,12 @@
 	options     Options   // for the next Load
 	fingerprint string    // of the files at the last poll
 	changedAt   time.Time // when the fingerprint last changed
-	lastFault   string    // the last logged fault, or "" if the files could be used
+	lastFault   string    // the text of the last logged fault; "" if the files could be used at the last attempt
 }
 
 // poll returns new material if the files or the options have changed and can be used, and nil otherwise.
 // It reads the files if they seem changed, soon after a change, or if force is true. It logs a fault
-// once, until it changes. wallTime is the wall-clock time, for the log.
+// only if the fault's text differs from the last one. wallTime is the wall-clock time, for the log.
 func (w *watcher) poll(force bool, wallTime time.Time) *Material {
 	now := time.Now()
 	if s := fileFingerprint(w.options.Files()); s != w.fingerprint {
--- a/internal/dataplane/upstreamtls/worker.go
+++ b/internal/dataplane/upstreamtls/worker.go
@@ -18,7 +18,7 @@
 
 // handshakeJob is a handshake for a worker to run.
 type handshakeJob struct {
-	requestID uint64
+	requestID uint64 // identifies the dial in the handshake budget
 	peer      *tlsPeer
 	address   string // "host:port"
 	deadline  time.Time
@@ -47,8 +47,8 @@
 	}
 }
 
-// run connects and runs the handshake. It returns the session and its socket, which no poller watches,
-// or a failure and the descriptor -1. computeTime is the time this side spent computing.
+// run connects and runs the handshake. It returns the session and the descriptor of its socket, which no
+// poller watches, or a failure and the descriptor -1. computeTime is the time this side spent computing.
 func (j *handshakeJob) run(computeToken chan struct{}) (s *session, fd int, computeTime time.Duration, f *Failure) {
 	w := &sealedSocket{computeToken: computeToken, sealed: netio.NewBuffer(maxSealedBytes)}
 	defer func() {
@@ -112,7 +112,8 @@
 	return fd, err
 }
 
-// handshakeEnded handles the result of a job on the loop. The dial may have ended meanwhile.
+// handshakeEnded handles the result of a job on the loop: it passes the new connection or the failure to the
+// dial, unless the dial has ended meanwhile, and starts the next handshakes.
 func (d *Dialer) handshakeEnded(j *handshakeJob, s *session, fd int, computeTime time.Duration, f *Failure) {
 	d.counts.totalComputeTime += computeTime
 	d.budget.Done(d.loop.Now(), j.requestID, s != nil && s.resumed, computeTime, f == nil)
@@ -120,7 +121,7 @@
 	switch {
 	case dial == nil && f == nil:
 		unix.Close(fd) // the dial was cancelled or timed out; no request was sent
-	case dial == nil:
+	case dial == nil: // the dial was cancelled or timed out, and the handshake failed
 	case f != nil:
 		dial.fail(f)
 	case j.peer.material != d.material && !d.stillTrusted(j.peer, s):
@@ -139,8 +140,8 @@
 	d.startAllowed()
 }
 
-// stillTrusted reports whether a host that was verified in an earlier epoch, which ended during the
-// handshake, is also valid in the current one.
+// stillTrusted reports whether a host whose certificates were verified with files that were replaced during
+// the handshake (an earlier epoch) is also valid by the current files.
 func (d *Dialer) stillTrusted(p *tlsPeer, s *session) bool {
 	_, err := d.material.Verify(s.tlsConn.ConnectionState().PeerCertificates, p.key.name, d.wallClock())
 	return err == nil
