--- a/internal/dataplane/certexpiry/expiry.go
+++ b/internal/dataplane/certexpiry/expiry.go
@@ -46,8 +46,8 @@
 const PlanInterval = time.Second
 
 // Plan returns the IDs of the connections to migrate now, those that have been due the longest
-// first, and counts them as migrated. now is monotonic time in nanoseconds, and wall is the time with which certificates are
-// compared. open must contain all open connections.
+// first, and counts them as migrated. now is monotonic time in nanoseconds, and wall is the time
+// with which certificates are compared. open must contain all open connections.
 func (p *Planner) Plan(now int64, wall time.Time, open []Conn) []string {
 	if !p.policy.MigrationEnabled || len(open) == 0 {
 		return nil
--- a/internal/dataplane/certexpiry/expiry_test.go
+++ b/internal/dataplane/certexpiry/expiry_test.go
@@ -6,9 +6,11 @@
 	"time"
 )
 
+// start is the time of second 0 on the wall clock.
 var start = time.Unix(1.8e9, 0)
 
-// simulate calls Plan once per second and returns the second in which each connection was migrated.
+// simulate calls Plan once per second, for the given number of seconds, and returns for each migrated
+// connection the second of its migration, by ID. wall returns the wall clock's time in second s.
 func simulate(p *Planner, conns []Conn, seconds int, wall func(s int) time.Time) map[string]int {
 	migrated := map[string]int{}
 	for s := range seconds {
@@ -26,7 +28,7 @@
 	return migrated
 }
 
-// connections returns n connections that share one certificate.
+// connections returns n connections that share one certificate, which expires at notAfter.
 func connections(n int, notAfter time.Time) []Conn {
 	var conns []Conn
 	for i := range n {
@@ -38,7 +40,8 @@
 // steadyClock returns the time s seconds after start on a wall clock that is not set.
 func steadyClock(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 
-// maxPerMinute returns the maximum number of migrations in any minute.
+// maxPerMinute returns the maximum number of migrations in any 60 seconds. migrated is the result of
+// simulate.
 func maxPerMinute(migrated map[string]int, seconds int) int {
 	most := 0
 	for from := 0; from < seconds; from++ {
@@ -70,8 +73,8 @@
 	}
 }
 
-// A clock that steps a year ahead makes all connections due at once. At most the share may migrate
-// then, and none after it steps back.
+// A clock that steps a year ahead makes all connections due at once. At most the configured
+// share may migrate per minute then, and none after the clock steps back.
 func TestClockStep(t *testing.T) {
 	p := New(Policy{MigrationEnabled: true, Before: 10 * time.Minute, MaxSharePerMinute: 0.05})
 	migrated := simulate(p, connections(1000, start.Add(100*24*time.Hour)), 400, func(s int) time.Time {
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -37,9 +37,10 @@
 	// pause of the decision module may be longer.
 	redirectSettleTime = 3500 * time.Millisecond
 	redirectRetryPause = 150 * time.Millisecond
-	// The next three constants apply to an agent on this machine, to which discovery pushes its lists. Calls on it are cheap, and
-	// a list counts as received as soon as the agent has it. So a call whose connection has died is ended and
-	// repeated within the 250 ms that the contract allows between receiving a list and following it.
+	// The next three constants apply to an agent on this machine, to which discovery pushes its lists.
+	// Calls on it are cheap, and a list counts as received as soon as the agent has it. So a call whose
+	// connection has died is ended and repeated within the 250 ms that the contract allows between
+	// receiving a list and following it.
 	agentWatchTimeout  = 100 * time.Millisecond
 	agentAnswerTimeout = 80 * time.Millisecond
 	agentRetryPause    = 30 * time.Millisecond
@@ -77,15 +78,17 @@
 	Notify     func(proxy.WatchEvent) // called on the loop with each change of the list and reported failure
 }
 
-// NewClient returns a client of discovery. It makes no call until FollowAgent, WatchList, Redirect or FetchList is called.
+// NewClient returns a client of discovery. It makes no call until FollowAgent, WatchList, Redirect or
+// FetchList is called.
 func NewClient(l *netio.Loop, d *netio.Dialer, o Options) *Client {
 	watchTimeout := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.ProxyCount)*watchTimeoutPerProxy))
 	return &Client{loop: l, dialer: d, address: o.Address, watchTimeout: watchTimeout, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
 }
 
 // FollowAgent turns on a watch of an agent on this machine, to which discovery pushes its lists, without a
-// request of the decision module, which otherwise decides when to watch. A call that fails is repeated after agentRetryPause and not reported: the
-// agent is silent while discovery is silent, and the client then has the latest list.
+// request of the decision module, which otherwise decides when to watch. A call that fails is repeated
+// after agentRetryPause and not reported: the agent is silent while discovery is silent, and the client
+// then has the latest list.
 func (c *Client) FollowAgent() {
 	c.followsAgent, c.watchTimeout, c.answerTimeout = true, agentWatchTimeout, agentAnswerTimeout
 	c.WatchList(true)
@@ -199,9 +202,9 @@
 }
 
 // reopen repeats the call of a silent watch at once, because the decision module's pause grows with the
-// number of proxies and the list is due sooner. The watches of different proxies fall silent at different times, so their calls do not
-// come together. The idle connection is closed, since it may have died like the one that was used. A second
-// failure is reported.
+// number of proxies and the list is due sooner. The watches of different proxies fall silent at different
+// times, so their calls do not come together. The idle connection is closed, since it may have died like
+// the one that was used. A second failure is reported.
 func (c *Client) reopen() {
 	c.reopened = true
 	c.closeIdle()
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -156,7 +156,8 @@
 	}
 }
 
-// Watches wait longer in a larger fleet, so that up to 80 proxies together make at most four calls a second.
+// The more proxies use a discovery, the longer their watches wait, so that up to 80 proxies together make at
+// most four calls a second.
 func TestWatchesWaitLongerInALargerFleet(t *testing.T) {
 	for _, c := range []struct {
 		proxies int
@@ -189,7 +190,8 @@
 	return []byte(b.String())
 }
 
-// Parsing a large list must cost at most 12 allocations a host, and not grow faster than the list.
+// Parsing a large list must cost at most 12 allocations a host. The cost of a host must not grow much with
+// the length of the list.
 func TestListOfAThousand(t *testing.T) {
 	allocationsPerHost := func(n int) float64 {
 		data := fullList(n)
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -26,8 +26,8 @@
 	fmt.Fprintf(a.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// scriptedDiscovery is a discovery whose answers the test sends, and a client of it that has version 40, on a
-// clock that advanceClock advances.
+// scriptedDiscovery is a discovery service whose answers the test sends, and a client of the service. The
+// client has version 40 of the list, and its clock is advanced by advanceClock.
 type scriptedDiscovery struct {
 	calls   chan receivedCall
 	changes chan proxy.WatchEvent
@@ -75,7 +75,7 @@
 }
 
 // A watch that falls silent is reopened at once. If it were reported as a failure, it would wait for the
-// decision module's backoff, which grows with the fleet, and changes would arrive late.
+// decision module's backoff, which grows with the number of proxies, and changes would arrive late.
 func TestASilentWatchIsReopenedAtOnce(t *testing.T) {
 	s := newScriptedDiscovery(t)
 	s.loop.Post(func() { s.client.WatchList(true) })
--- a/internal/dataplane/handshake/budget_test.go
+++ b/internal/dataplane/handshake/budget_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-const ms = int64(time.Millisecond)
+const ms = int64(time.Millisecond) // in nanoseconds
 
-// runHandshakes calls Next and Done from now until the given time, in nanoseconds. Each handshake
-// takes the duration, in nanoseconds, and costs cpu. It calls onBegin for each handshake that
-// begins, and returns the IDs of those that Next dropped.
+// runHandshakes calls Next and Done every quarter of a millisecond from now until the given time,
+// in nanoseconds. Each handshake takes the duration, in nanoseconds, and costs cpu. It calls
+// onBegin for each handshake that begins, and returns the IDs of those that Next dropped.
 func runHandshakes(b *Budget, now, until int64, cpu time.Duration, duration int64, onBegin func(id uint64, at int64)) (late []uint64) {
 	type end struct {
 		at int64
@@ -33,7 +33,7 @@
 	return late
 }
 
-// 500 clients need handshakes at once after the drain of a server. Their CPU must stay within the
+// 500 handshakes are needed at once after the drain of a host. Their CPU must stay within the
 // budget, and each handshake must begin in time, be rejected at once or be dropped.
 func TestStormStaysInBudget(t *testing.T) {
 	limits := Limits{CPUShare: 0.3, Rate: 1000, HostRate: 100, MaxInFlight: 8, MaxInFlightPerHost: 4, Burst: 100 * time.Millisecond, MaxQueued: 1000}
@@ -49,8 +49,8 @@
 	if began+rejected+len(late) != 500 || b.Waiting()+b.InFlight() != 0 {
 		t.Errorf("%d began, %d rejected and %d late, want 500 in all and none left; budget: %s", began, rejected, len(late), b.Describe())
 	}
-	// 0.3 s of CPU per second at 1 ms each, plus 30 ms of burst, one overdraft, and the charges by
-	// the initial estimate.
+	// The bound is 0.3 s of CPU per second at 1 ms each, plus 30 ms of burst, one handshake that overdraws
+	// the bucket, and those that were charged by the lower initial estimate.
 	if last > 1000*ms || began > 345 || began < 250 {
 		t.Errorf("%d handshakes began, the last at %d ms; want 250 to 345 until 1000 ms", began, last/ms)
 	}
--- a/internal/dataplane/handshake/properties_test.go
+++ b/internal/dataplane/handshake/properties_test.go
@@ -25,8 +25,8 @@
 type modelHandshake struct {
 	state    handshakeState
 	host     string
-	deadline int64
-	resumed  bool
+	deadline int64 // nanoseconds
+	resumed  bool  // a session is available
 }
 
 // model checks a budget against a record of each handshake, and against a twin budget that gets the
@@ -35,12 +35,12 @@
 	t            *rapid.T
 	limits       Limits
 	budget, twin *Budget
-	now          int64
-	last         uint64 // the ID of the last handshake
-	handshakes   map[uint64]*modelHandshake
-	inFlight     []uint64
-	weight       float64            // sum of the weights of all handshakes that have begun
-	hostWeight   map[string]float64 // the same by host
+	now          int64                      // nanoseconds, from 0
+	last         uint64                     // the ID of the last handshake
+	handshakes   map[uint64]*modelHandshake // by ID
+	inFlight     []uint64                   // IDs
+	weight       float64                    // sum of the weights of all handshakes that have begun
+	hostWeight   map[string]float64         // the same by host
 }
 
 // newModel returns a model with random limits.
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -6,10 +6,10 @@
 	"croftlock/internal/balancer"
 )
 
-const second = int64(1e9)
+const second = int64(1e9) // in nanoseconds
 
-// servedOnce returns a request of which one attempt, begun at second 1, may have run in zone a,
-// cell 1, and its monitor. Its dedup window is 2 s.
+// servedOnce returns a request and its monitor. One attempt of the request, begun at second 1, has ended and
+// may have run at a host in zone a and cell 1. The dedup window is 2 s, the deadline at second 10.
 func servedOnce(idempotency balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
 	m := NewMonitor(func(Rule, string) {})
 	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: idempotency, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, MaxAttempts: 3}
@@ -45,7 +45,7 @@
 		if got := r.CheckAttempt(c.at, c.to); got != c.want {
 			t.Errorf("%+v: CheckAttempt = %v, want %v", c, got, c.want)
 		}
-		r.AttemptBegan(c.at+int64(MaxPause), c.to)
+		r.AttemptBegan(c.at+int64(MaxPause), c.to) // the rules allow for a pause of MaxPause
 		if m.Counts.Broken[c.want] != 1 && c.want != None {
 			t.Errorf("%+v: the attempt began anyway: Counts.Broken[%v] = %d, want 1", c, c.want, m.Counts.Broken[c.want])
 		}
--- a/internal/dataplane/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -66,7 +66,8 @@
 	lineWritten     bool // the first line of the latest attempt has been written completely
 	mayHaveRun      bool // an attempt that has ended may have run
 	// firstRunAt is the start, in nanoseconds, of the first attempt that may have run. Hosts count
-	// the dedup window from it. It is 0 if there is no such attempt. firstRunHost is the host of that attempt.
+	// the dedup window from it. It is 0 if there is no such attempt. firstRunHost is the host of
+	// that attempt.
 	firstRunAt   int64
 	firstRunHost Host
 }
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -14,7 +14,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// rejectingBalancer rejects every request.
+// rejectingBalancer rejects every request, with a Retry-After of 7 ms.
 type rejectingBalancer struct{ fx balancer.Effects }
 
 func (m rejectingBalancer) RequestArrived(_ balancer.Time, q balancer.Request) {
@@ -35,15 +35,16 @@
 func (rejectingBalancer) Ejected(balancer.Time, string) bool                 { return false }
 func (rejectingBalancer) AttemptEnded(balancer.Time, balancer.AttemptResult) {}
 
-// startFront starts a front with capacity for two connections without a request and maxDownstreams with
-// one. advanceClock advances its clock.
+// startFront starts a Front, which accepts clients, with capacity for two connections without a request and
+// maxDownstreams with one. dial opens a client's connection; advanceClock advances the Front's clock.
 func startFront(t *testing.T, maxDownstreams int) (dial func() net.Conn, advanceClock func(time.Duration)) {
 	t.Helper()
 	r := newFrontRig(t, maxDownstreams, func(fx balancer.Effects) proxy.Balancer { return rejectingBalancer{fx} })
 	return r.dial, r.advanceClock
 }
 
-// frontRig is a front on a loop whose clock advanceClock advances.
+// frontRig is a running Front and its core on a loop whose clock advanceClock advances. The core has class c
+// and tenant t, and no hosts.
 type frontRig struct {
 	loop         *netio.Loop
 	core         *proxy.Core
@@ -59,7 +60,7 @@
 	<-done
 }
 
-// newFrontRig starts a front whose decision module is made by module.
+// newFrontRig starts a Front whose core uses the decision module that module returns.
 func newFrontRig(t *testing.T, maxDownstreams int, module func(balancer.Effects) proxy.Balancer) *frontRig {
 	t.Helper()
 	var now atomic.Int64
@@ -97,7 +98,7 @@
 	return r
 }
 
-// expect checks what a client reads up to the end of its connection.
+// expect checks that a client reads want up to the orderly end of its connection.
 func expect(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	if got, err := io.ReadAll(c); string(got) != want || err != nil {
--- a/internal/dataplane/lineproto/healthchecks_test.go
+++ b/internal/dataplane/lineproto/healthchecks_test.go
@@ -60,7 +60,7 @@
 	results  chan string   // the status and the load of each health check that has ended
 }
 
-// newCheckRig starts a host and a checker of it.
+// newCheckRig starts a host and a health checker that checks it.
 func newCheckRig(t *testing.T) *checkRig {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -54,6 +54,7 @@
 	return lines, buffered, nil
 }
 
+// openLinePrefix is a request line without its named values.
 const openLinePrefix = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 "
 
 var validOpenLines = []string{openLinePrefix + "c=catalogue-session,t=y,d=2000,g=5c0f6e1a2b3d4c59,r=1,again=1,h=3.5,at=s-1,new=-2e3", openLinePrefix + "c=x"}
@@ -79,7 +80,8 @@
 	}
 }
 
-// FuzzOpen checks that invalid lines cause an error and no panic, and that WithWait changes only d.
+// FuzzOpen checks that invalid lines cause an error and no panic, and that WithWait changes only the
+// field d.
 func FuzzOpen(f *testing.F) {
 	for _, s := range append(invalidOpenLines, validOpenLines...) {
 		f.Add([]byte(s + "\r\n"))
@@ -106,7 +108,8 @@
 	})
 }
 
-// WithWait replaces or adds d; a Retry-After is rounded up to milliseconds.
+// WithWait replaces or adds the field d, the wait in milliseconds. A Retry-After is rounded up to
+// milliseconds.
 func TestWithWait(t *testing.T) {
 	for in, want := range map[string]string{"c=x,d=2000,new=1": "c=x,d=7,new=1", "c=x": "c=x,d=7"} {
 		o, err := ParseOpenLine([]byte(openLinePrefix + in + "\r\n"))
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// A connect that fails because this machine is short of descriptors or ports is retried, since that is no
-// fault of the host. A refused connection is reported at once.
+// A connect that fails because this machine is short of descriptors or ports is retried, since the host is
+// not at fault. A refused connection is reported at once.
 func TestAConnectOutlivesAMachineShortOfDescriptors(t *testing.T) {
 	l, addr, _ := serve(t, func(*Conn) {})
 	d := NewDialer(l, 1)
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -37,7 +37,8 @@
 	return l
 }
 
-// start runs l until the test ends and waits for it then: two loops must not use the process's one poller.
+// start runs l until the test ends, and then waits until l has stopped: two loops must not use the
+// process's one poller.
 func start(t *testing.T, l *Loop) {
 	t.Helper()
 	go l.Run()
@@ -61,14 +62,14 @@
 	return n
 }
 
-// greet answers each connection with a line and finishes it.
+// greet sends the line "here" on each accepted connection and finishes the connection.
 func greet(c *Conn) Handler {
 	c.FinishWith([]byte("here\r\n"))
 	return discardingHandler{}
 }
 
-// serve listens on a new running loop and handles connections by data. It returns the loop, the address
-// and the ends of connections.
+// serve listens on a new running loop and calls data for the input of each connection. It returns the loop,
+// the address, and a channel that receives the errors with which connections end.
 func serve(t *testing.T, data func(c *Conn)) (*Loop, string, chan *Error) {
 	t.Helper()
 	return serveOn(t, NewLoop(), data)
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -20,7 +20,7 @@
 	t        *testing.T
 	loop     *Loop
 	handler  *funcHandler
-	released int
+	released int               // number of releases that succeeded
 	final    chan ReleasedConn // receives the result of the release that failed
 }
 
@@ -46,7 +46,7 @@
 }
 
 // A connection that is released and resumed repeatedly while bytes flow in both directions must neither lose
-// nor change any.
+// nor change any of the bytes.
 func TestReleaseLosesNothing(t *testing.T) {
 	r := &repeatedReleaser{t: t, loop: attachedLoop(t), handler: &funcHandler{data: echo, closed: make(chan *Error, 8)}, final: make(chan ReleasedConn, 1)}
 	addr, err := Listen(r.loop, "127.0.0.1:0", 4096, func(c *Conn) Handler {
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -15,8 +15,8 @@
 const overdueGrace = 15 * time.Millisecond
 
 // rejectOrFail answers a request that gets no further attempt. It rejects the request if a retry by
-// the client is harmless, and fails it otherwise. after is the
-// Retry-After of a rejection, 0 for none.
+// the client is harmless, and fails it otherwise. after is the Retry-After of a rejection, 0 for
+// none.
 func (r *Request) rejectOrFail(after time.Duration, reason localReplyReason) {
 	if !r.record.MayReject() {
 		r.fail(metrics.Failed, reason)
@@ -25,8 +25,8 @@
 	r.reject(after, reason)
 }
 
-// reject answers the client that a retry is harmless, with after as Retry-After, 0 for none. It does nothing if
-// the request has its answer.
+// reject answers the client that a retry is harmless, with after as Retry-After, 0 for none. It
+// does nothing if the request has its answer.
 func (r *Request) reject(after time.Duration, reason localReplyReason) {
 	if r.answered() {
 		return
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -20,7 +20,7 @@
 	leftAt       map[string]int64 // ns, by request: when a client left before its answer
 	attempts     int
 	linesWritten int // first lines written
-	quotaInUse   int // connections that count against the quota
+	quotaInUse   int // connections of account a that count against its quota
 }
 
 // Start checks that no attempt begins for a client that has left. The connection is established or
@@ -51,7 +51,7 @@
 	}
 }
 
-// randomUpstream is an upstream whose host answers at random.
+// randomUpstream is an upstream whose host answers at random, or never.
 type randomUpstream struct {
 	*fakeUpstream
 	clients   *leavingClients // the test that the upstream belongs to
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -98,7 +98,8 @@
 }
 
 // TestShutdown checks that a proxy that is shutting down rejects new requests, migrates open
-// connections once the front routes no more clients to it, and ends when all have ended.
+// connections once no more clients are routed to it, and ends when all have ended. A client that is
+// migrated earlier could come back to the same proxy.
 func TestShutdown(t *testing.T) {
 	w := newHarness(t)
 	w.serve("q")
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -21,9 +21,10 @@
 
 // activity counts events since the counts were last logged.
 type activity struct {
-	// opened counts the calls of Core.Open, one for each well-formed first line of a client; served, rejected and failed count requests that a host accepted or that
-	// were rejected or failed. invalid counts client inputs that are not a valid request. migrated
-	// counts migrated clients. lost counts open connections that broke or whose host was silent.
+	// opened counts the calls of Core.Open, one for each well-formed first line of a client;
+	// served, rejected and failed count requests that a host accepted or that were rejected or
+	// failed. invalid counts client inputs that are not a valid request. migrated counts migrated
+	// clients. lost counts open connections that broke or whose host was silent.
 	opened, served, rejected, failed, invalid, migrated, lost int
 
 	expiring                               int // connections selected for migration because a certificate expires
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -13,8 +13,8 @@
 // process of the same proxy: suspensions of hosts by operators, the endpoint list and open
 // connections.
 type Successor interface {
-	// HostSuspended stores the suspension of the host with this ID, or its end. It calls done on the loop once the change is
-	// stored or storing it has failed.
+	// HostSuspended stores the suspension of the host with this ID, or its end. It calls done on
+	// the loop once the change is stored or storing it has failed.
 	HostSuspended(id string, suspended bool, done func())
 	// ListChanged is called after each change of the endpoint list.
 	ListChanged()
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -12,14 +12,14 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// harness is a core between fakes, on a clock that the test advances. events lists the calls that
-// the core makes to the fakes: "start ADDRESS MS" for an attempt, where MS is the time until its
-// deadline in milliseconds; "end up CAUSE" for the end of an upstream; "accept REQUEST", "reject
-// REQUEST MS" (with the Retry-After), "fail REQUEST", "migrate REQUEST" and "end REQUEST CAUSE" for
-// what happens to a downstream; and the events of fakeBalancer.
+// harness is a core between fake clients, hosts and balancer, on a clock that the test advances.
+// events lists the calls that the core makes to the fakes: "start ADDRESS MS" for an attempt, where
+// MS is the time until its deadline in milliseconds; "end up CAUSE" when the core ends an upstream;
+// "accept REQUEST", "reject REQUEST MS" (with the Retry-After), "fail REQUEST", "migrate REQUEST"
+// and "end REQUEST CAUSE" for what happens to a downstream; and the events of fakeBalancer.
 type harness struct {
 	test      *testing.T
-	now       int64 // ns
+	now       int64 // the clock's Unix time in nanoseconds
 	loop      *netio.Loop
 	core      *Core
 	effects   balancer.Effects
@@ -36,7 +36,8 @@
 	return w
 }
 
-// newHarness returns a harness whose core has class c and tenant t, and the ready hosts A and B.
+// newHarness returns a harness whose core has class c (deadline 4.8 s, message latency objective
+// 150 ms) and tenant t, the ready hosts A and B, and capacity for 2 downstreams. events is empty.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	w := newHarnessWithoutCore(t)
@@ -60,7 +61,7 @@
 	w.events = append(w.events, fmt.Sprintf(format, args...))
 }
 
-// expect checks the events since the last call, and clears them.
+// expect checks that the events since the last call are want, in this order, and clears them.
 func (w *harness) expect(want ...string) {
 	w.test.Helper()
 	if got := strings.Join(w.events, "; "); got != strings.Join(want, "; ") {
@@ -77,12 +78,12 @@
 	}
 }
 
-// open sends a request of class c and tenant t, whose client waits 1 s for its answer.
+// open sends a request of class c and tenant t, whose client waits 1 s. It returns Core.Open's result.
 func (w *harness) open(id string) *Request {
 	return w.core.Open(&fakeDownstream{w, id}, &Opening{ID: id, Class: "c", Tenant: "t", Wait: time.Second, HasWait: true}, nil)
 }
 
-// shutDown begins a shutdown. *ended is set once it has ended.
+// shutDown begins a shutdown. *ended becomes true once the shutdown has ended.
 func (w *harness) shutDown() (ended *bool) {
 	ended = new(bool)
 	w.core.Shutdown(func() { *ended = true })
@@ -99,7 +100,8 @@
 	}
 }
 
-// serve opens a request that host A accepts.
+// serve opens a request that host A accepts, and returns the request and its upstream. It clears events, and
+// onEvent stays as set here.
 func (w *harness) serve(id string) (*Request, *fakeUpstream) {
 	w.onEvent = func(e string) {
 		if e == "request "+id {
@@ -142,7 +144,7 @@
 }
 
 // endAtRandom makes the host read the first line and then, at random, reject it, accept it, or
-// reset the connection at a stage. It reports whether the connection was reset.
+// reset the connection at the given stage. It reports whether the connection was reset.
 func (u *fakeUpstream) endAtRandom(t *rapid.T, stage netio.Stage) (reset bool) {
 	u.sent()
 	switch rapid.IntRange(0, 2).Draw(t, "end") {
--- a/internal/dataplane/proxy/healthcheck.go
+++ b/internal/dataplane/proxy/healthcheck.go
@@ -7,7 +7,8 @@
 )
 
 // checkHost polls a host for its load on behalf of a pool's balancer, and reports the result to the
-// balancer. It reports the status TooLate without a poll if the settings do not permit health checks, or if the host is unknown or not ready.
+// balancer. It reports the status TooLate without a poll if the settings do not permit health
+// checks, or if the host is unknown or not ready.
 func (c *Core) checkHost(p *pool, id string) {
 	startedAt := c.loop.Now()
 	done := func(status balancer.AttemptStatus, load []float64) { c.healthCheckDone(p, id, startedAt, status, load) }
--- a/internal/dataplane/proxy/hoststart.go
+++ b/internal/dataplane/proxy/hoststart.go
@@ -22,9 +22,9 @@
 // hostStart returns when a host started, on this process's clock. A zero listed start stays zero.
 //
 // If the system's clock was set after the start of this process, listed starts are off by the same
-// amount. A host that is still warming up and is taken for warm gets overloaded. The clock of the host may have
-// been set as well or not, so a start has two possible meanings: hostStart returns the later one
-// that is not in the future, or now if both are in the future.
+// amount. A host that is still warming up and is taken for warm gets overloaded. The clock of the
+// host may have been set as well or not, so a start has two possible meanings: hostStart returns
+// the later one that is not in the future, or now if both are in the future.
 func (c startClock) hostStart(listed balancer.Time) balancer.Time {
 	now := c.now()
 	if listed == 0 {
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -32,8 +32,8 @@
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
 	// TimerFired reports that the delay of the effect Schedule with this token has passed.
 	TimerFired(now balancer.Time, token string)
-	// Ejected reports whether host is ejected because connections to it
-	// could not be set up. Until its next trial is due, an ejected host gets attempts only if no other host is available.
+	// Ejected reports whether host is ejected because connections to it could not be set up. Until
+	// its next trial is due, an ejected host gets attempts only if no other host is available.
 	Ejected(now balancer.Time, host string) bool
 	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives up its
 	// slow-start budgets, the new connections that it may still place on hosts that are warming up, to
@@ -112,9 +112,10 @@
 
 // Connector opens upstream requests.
 type Connector interface {
-	// Start starts an upstream request to a host. The attempt to connect fails after connectTimeout.
-	// Once connected, the Upstream sends first, the request line. The Upstream reports its progress, the host's messages and its
-	// end by calling the methods of events. deadline is the Unix time in nanoseconds, on the loop's
-	// clock, at which the proxy stops waiting for the host's answer.
+	// Start starts an upstream request to a host. The attempt to connect fails after
+	// connectTimeout. Once connected, the Upstream sends first, the request line. The Upstream
+	// reports its progress, the host's messages and its end by calling the methods of events.
+	// deadline is the Unix time in nanoseconds, on the loop's clock, at which the proxy stops
+	// waiting for the host's answer.
 	Start(to Target, first RequestLine, deadline int64, connectTimeout time.Duration, events UpstreamEvents) Upstream
 }
--- a/internal/dataplane/proxy/log_test.go
+++ b/internal/dataplane/proxy/log_test.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/operations/logging"
 )
 
-// captureLog writes the log, at level debug, to a buffer until the test ends.
+// captureLog writes the log, at level debug, to the returned buffer until the test ends.
 func captureLog(t *testing.T) *bytes.Buffer {
 	t.Helper()
 	before := slog.Default()
@@ -76,7 +76,8 @@
 	}
 }
 
-// adoptAt returns a test that opens a request whose connection was open at a host before the start.
+// adoptAt returns a test that opens a request whose connection was open at the given host before the
+// proxy's start.
 func adoptAt(host string) func(t *testing.T) {
 	return func(t *testing.T) {
 		w := newHarness(t)
--- a/internal/dataplane/proxy/migrations_test.go
+++ b/internal/dataplane/proxy/migrations_test.go
@@ -8,8 +8,8 @@
 
 // fakePacer is a Pacer whose permits the test grants by calling done.
 type fakePacer struct {
-	wants []int // the number requested by each call
-	done  func(n int)
+	wants []int       // the number of permits requested by each call
+	done  func(n int) // of the last call
 }
 
 func (p *fakePacer) RequestMigrations(want int, done func(n int)) {
--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -12,18 +12,19 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// poolHarness runs a core with the real balancer, hosts of two kinds, and rules that a test changes.
+// poolHarness runs a core with the real balancer, hosts of two kinds, m1 and m2, and rules that a test
+// changes. The rules split the hosts into pool p and the remaining ones, pool main.
 type poolHarness struct {
 	*harness
 	test            *rapid.T
 	enforcer        *rules.Enforcer
-	hosts           map[string]HostEntry
-	poolByHost      map[string]string // by the rules in force; "" between two pools
-	poolByTenant    map[string]string // by the rules in force
-	tenantByRequest map[string]string
-	startsByRequest map[string]int // number of attempts
-	poolKind        string         // kind of the hosts in pool p
-	version         uint64         // of the rules in force
+	hosts           map[string]HostEntry // by host ID
+	poolByHost      map[string]string    // pool by host ID, by the rules in force; "" between two pools
+	poolByTenant    map[string]string    // pool by tenant, by the rules in force
+	tenantByRequest map[string]string    // tenant by request ID
+	startsByRequest map[string]int       // number of attempts by request ID
+	poolKind        string               // kind of the hosts in pool p
+	version         uint64               // of the rules in force
 }
 
 // Start checks that each attempt goes to a host of its tenant's pool.
@@ -56,7 +57,8 @@
 	}
 }
 
-// newPoolHarness returns a harness with four hosts of two kinds and version 1 of the rules in force.
+// newPoolHarness returns a harness with the hosts A to D, two of each kind, and version 1 of the rules in
+// force: pool p has the hosts of kind m1.
 func newPoolHarness(t *rapid.T) *poolHarness {
 	w := &poolHarness{harness: newHarnessWithoutCore(nil), test: t, hosts: map[string]HostEntry{}, poolByHost: map[string]string{}, tenantByRequest: map[string]string{}, startsByRequest: map[string]int{},
 		poolKind: "m1", version: 1}
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -14,9 +14,9 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// Random sequences of rules versions, lists, requests and ends of attempts. Each request must go
-// only to hosts of its tenant's pool and get one answer, and each open connection must belong to
-// the pool of its host.
+// Random sequences of rules versions, lists, requests and ends of attempts. A pool is the subset of
+// hosts that the rules assign to a tenant. Each request must go only to hosts of its tenant's pool
+// and get one answer, and each open connection must belong to the pool of its host.
 func TestRequestsStayInTheirPool(t *testing.T) {
 	open, poolSwaps := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// A request whose host resets the connection may have run. If it must not run twice, the balancer
-// of another pool, which does not know of that attempt, must not place it again.
+// A request whose host resets the connection may have run. If the request must not run twice, the balancer
+// of another pool must not place it again, because that balancer does not know of the earlier attempt.
 func TestRequestThatMayHaveRunIsNotPlacedAgain(t *testing.T) {
 	for idempotency, want := range map[balancer.Idempotency]string{balancer.IdempotentWithKey: "fail r", balancer.Idempotent: "start at-B"} {
 		w := newHarnessWithoutCore(t)
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -21,7 +21,8 @@
 	Release(account string)
 }
 
-// SetQuota sets the limits that apply over all proxies (the fleet). It is called before the core accepts clients.
+// SetQuota sets the limits that apply over all proxies (the fleet). It is called before the core
+// accepts clients.
 func (c *Core) SetQuota(q Quota) { c.fleet.quota = q }
 
 // acquireQuota calls proceed once quota for the request is reserved in its account, and at once if
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -129,8 +129,8 @@
 }
 
 // RestoreSuspensions restores the known hosts and the suspensions of a snapshot. A suspension takes
-// effect when an endpoint list contains the host. It is called before Run and, in a takeover, once more after Run;
-// by then SetOtherProcessSuspension has applied the changes since the first call.
+// effect when an endpoint list contains the host. It is called before Run and, in a takeover, once
+// more after Run; by then SetOtherProcessSuspension has applied the changes since the first call.
 func (c *Core) RestoreSuspensions(s *Snapshot) {
 	for _, id := range s.KnownHosts {
 		c.hosts.suspensions.HostListed(id)
--- a/internal/dataplane/upstreamtls/dialer.go
+++ b/internal/dataplane/upstreamtls/dialer.go
@@ -124,8 +124,9 @@
 	d.jobs <- dial.job
 }
 
-// logFailure logs and counts why a connection to a host was not established. A fault of the proxy's own certificate, trust or
-// revocation files (Reason.IsOwnFault) affects every host and has a separate log event.
+// logFailure logs and counts why a connection to a host was not established. A fault of the proxy's own
+// certificate, trust or revocation files (Reason.IsOwnFault) affects every host and has a separate log
+// event.
 func (d *Dialer) logFailure(host string, f *Failure) {
 	d.counts.failed[f.Reason]++
 	text := ""
--- a/internal/dataplane/upstreamtls/dialer_test.go
+++ b/internal/dataplane/upstreamtls/dialer_test.go
@@ -125,7 +125,7 @@
 	if c := e.dial(s.Addr(), 5*time.Second); c.err != nil {
 		t.Fatal(c.err)
 	}
-	e.onLoop(func() { e.dialer.cache.removeOtherEpochs(0) })
+	e.onLoop(func() { e.dialer.cache.removeOtherEpochs(0) }) // removes all sessions: the files have epoch 1
 	began := time.Now()
 	if c := e.dial(s.Addr(), 500*time.Millisecond); c.reason() != NoBudget || time.Since(began) > 400*time.Millisecond {
 		t.Errorf("dial without budget failed with %v after %v, want %q within 400 ms", c.err, time.Since(began), NoBudget)
--- a/internal/dataplane/upstreamtls/env_test.go
+++ b/internal/dataplane/upstreamtls/env_test.go
@@ -29,7 +29,8 @@
 	clockSkew atomic.Int64 // how far the wall clock is ahead, in nanoseconds
 }
 
-// newEnv starts a Dialer. change, if not nil, is called before the start and may change the options.
+// newEnv starts a Dialer with a trust bundle and the default options, which expects the name "{uid}.test".
+// change, if not nil, is called before the start and may change the options.
 func newEnv(t *testing.T, change func(e *env)) *env {
 	t.Helper()
 	pki, err := fake.NewPKI(hostName)
@@ -105,10 +106,11 @@
 // Closed passes the error to closed.
 func (c *conn) Closed(_ *netio.Conn, err *netio.Error) { c.closed <- err }
 
-// dial opens a connection and waits until it is established or has failed. timeout is that of Dialer.Dial.
+// dial opens a connection to addr as host s1 in zone a, and waits until the connection is established or has
+// failed. timeout is that of Dialer.Dial.
 func (e *env) dial(addr string, timeout time.Duration) *conn { return e.dialWith(addr, timeout, nil) }
 
-// openRequest opens a connection on which the server has accepted a request.
+// openRequest returns a connection to a fake server at addr that has accepted a request on it.
 func (e *env) openRequest(addr string) *conn {
 	e.t.Helper()
 	c := e.dial(addr, 5*time.Second)
@@ -187,7 +189,7 @@
 	return f.Reason
 }
 
-// newServer starts a catalogue server. If config is nil, it has a certificate for hostName.
+// newServer starts a fake upstream host with the ID s1. If config is nil, it has a certificate for hostName.
 func (e *env) newServer(config *tls.Config) *fake.Server {
 	e.t.Helper()
 	if config == nil {
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -96,9 +96,9 @@
 	return 0, false
 }
 
-// classifyTLSError returns the failure for an error of crypto/tls during or after the handshake.
-// received reports whether the peer had sent anything, which decides the failure's step. Errors that crypto/tls does not export are
-// recognized by their texts.
+// classifyTLSError returns the failure for an error of crypto/tls during or after the handshake. received
+// reports whether the peer had sent anything, which decides the failure's step. Errors that crypto/tls does
+// not export are recognized by their texts.
 func classifyTLSError(err error, received bool) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -13,8 +13,9 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// TestWatcher replaces files atomically, in place, half written and in the wrong order. Files that cannot
-// be used must not replace the material; the next poll must return new material for others.
+// TestWatcher replaces files atomically, in place, half written and in the wrong order. Files that cannot be
+// used must not replace the Material, the loaded content of the files. For usable files, the next poll must
+// return new Material.
 func TestWatcher(t *testing.T) {
 	e := newEnv(t, func(e *env) {
 		e.pki.Trusted.SaveClientCertificate(e.dir, certs.Spec{Name: "proxy"})
@@ -64,7 +65,8 @@
 	poll(false)
 }
 
-// TestReuseEndsWithItsEpoch checks that a session of an earlier epoch, or of another name, is never resumed.
+// TestReuseEndsWithItsEpoch checks that a session of an earlier epoch (version of the files), or of another
+// name, is never resumed.
 func TestReuseEndsWithItsEpoch(t *testing.T) {
 	e := newEnv(t, nil)
 	s := e.newServer(nil)
