--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -34,7 +34,7 @@
 	inputLimit = maxHeadBytes + 2*maxBodyBytes
 	// redirectSettleTime is how long after a redirect the client itself retries failed calls on the new
 	// address, every redirectRetryPause: the list of that address is due 4 s after the redirect, and the
-	// pause of the decision module may be longer.
+	// pause of the decision module, which otherwise decides when to call again, may be longer.
 	redirectSettleTime = 3500 * time.Millisecond
 	redirectRetryPause = 150 * time.Millisecond
 	// The next three constants apply to an agent on this machine, to which discovery pushes its lists.
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -13,7 +13,7 @@
 // the host.
 type upstreamRequest struct {
 	request   *Request
-	number    int // index among the request's attempts in its present pool, from 0
+	number    int // index among the request's attempts in its present pool (subset of hosts), from 0
 	host      *host
 	conn      Upstream
 	startedAt int64 // ns of the loop's time; for a connection that was handed over, when this process resumed it
@@ -52,7 +52,7 @@
 		r.notifyNotBegun(number, balancer.TooLate, r.answered)
 		return
 	}
-	// The balancer applies these rules too; this check guards against its faults.
+	// The balancer applies these rules too; this check guards against faults of the balancer.
 	if rule := r.record.CheckAttempt(now, h.invariantHost()); rule != invariant.None {
 		r.notifyNotBegun(number, r.attemptBlocked(rule, h), r.answered)
 		return
@@ -155,7 +155,8 @@
 }
 
 // notifyEnded notifies the balancer that the attempt or the open connection ended with status. The
-// balancer does not know the attempts of an adopted request, so adoptionEnded handles those.
+// balancer does not know the attempts of an adopted request, whose connection was open before this
+// proxy's start, so adoptionEnded handles those.
 func (a *upstreamRequest) notifyEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -130,7 +130,7 @@
 func (c *Core) Ready() bool { return c.pools.main != nil && !c.shuttingDown }
 
 // AcceptsClients reports whether this process accepts clients. It does not if it is not ready, or
-// if the other process of this proxy accepts them.
+// if the other process of this proxy, which runs during a hot restart, accepts them.
 func (c *Core) AcceptsClients() bool { return c.Ready() && !c.handover.handedOver }
 
 // SetHealthChecker sets the HealthChecker that polls hosts for their load. Without one there are no
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -39,7 +39,7 @@
 }
 
 // effectiveEntry returns the host's list entry with its effective state and start, as passed to the
-// decision module.
+// balancer.
 func (h *host) effectiveEntry() balancer.ListedHost {
 	e := h.listed
 	e.State, e.StartedAt = h.state, h.startedAt
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -7,8 +7,9 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Balancer is the part of the decision module that the core calls. The core calls it from one
-// goroutine, and never while the Balancer handles another call. Times are in nanoseconds.
+// Balancer is the part of the decision module, the code that chooses hosts for requests, that the core
+// calls. The core calls a Balancer from one goroutine, and never while it handles another call. Times are
+// in nanoseconds. A Balancer knows the hosts of one pool, and requests actions by balancer.Effects.
 type Balancer interface {
 	// RequestArrived places a request: the balancer starts an attempt, or queues or rejects the request.
 	RequestArrived(now balancer.Time, q balancer.Request)
@@ -21,8 +22,8 @@
 	AttemptEnded(now balancer.Time, result balancer.AttemptResult)
 	// ClientLeft reports that nobody waits for the request any more.
 	ClientLeft(now balancer.Time, id string)
-	// HealthCheckEnded reports the result of the effect HealthCheck on host id. load is as in
-	// HealthChecker.Check.
+	// HealthCheckEnded reports the result of a health check that the balancer requested of host id.
+	// load is as in HealthChecker.Check.
 	HealthCheckEnded(now balancer.Time, id string, status balancer.AttemptStatus, load []float64)
 	// Observe reports the load (µs/s) of an open connection, or the latency (ms) of messages on it.
 	Observe(now balancer.Time, id string, attempt int, kind balancer.Observation, value float64)
@@ -30,14 +31,15 @@
 	ListReceived(now balancer.Time, kind balancer.ListChange, entries []balancer.ListedHost)
 	// PeerMessageReceived reports a message from another proxy, whose number is from.
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
-	// TimerFired reports that the delay of the effect Schedule with this token has passed.
+	// TimerFired reports that the delay has passed that the balancer requested by Schedule with this
+	// token.
 	TimerFired(now balancer.Time, token string)
 	// Ejected reports whether host is ejected because connections to it could not be set up. Until
 	// its next trial is due, an ejected host gets attempts only if no other host is available.
 	Ejected(now balancer.Time, host string) bool
 	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives up its
-	// slow-start budgets, the new connections that it may still place on hosts that are warming up, to
-	// the process that restores the snapshot.
+	// slow-start budgets, which are how much it may still place on hosts that are warming up, to the
+	// process that restores the snapshot.
 	Snapshot(yield bool) balancer.Snapshot
 	// Restore takes over the state in another balancer's snapshot.
 	Restore(now balancer.Time, snapshot balancer.Snapshot)
@@ -79,7 +81,7 @@
 // UpstreamEvents receives the events of an Upstream.
 type UpstreamEvents interface {
 	// MaySend is called right before the first line is written, and reports whether it may be
-	// written. If not, MaySend has ended the attempt.
+	// written. If not, the attempt has ended.
 	MaySend() bool
 	// UpstreamSent is called once the first line is written completely; the host may act on it now.
 	UpstreamSent()
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -52,6 +52,6 @@
 //   - as the decision module decides (effects.Migrate)
 //   - off a silent host (Core.checkUnanswered)
 //   - off a suspended host (Core.migrateOffHost) or before a certificate expires (Core.migrateExpiring),
-//     both at the fleet's rate (migrationPacer)
+//     both at the rate that applies to all proxies together (migrationPacer)
 //   - in a shutdown, which shutdown.go describes
 package proxy
--- a/internal/dataplane/proxy/localreply.go
+++ b/internal/dataplane/proxy/localreply.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// localReplyReason is the reason why a request is rejected or fails, for the log.
+// localReplyReason is the reason, for the log, why the proxy itself rejects or fails a request.
 type localReplyReason int
 
 // Reasons for which the proxy itself rejects or fails a request.
 const (
-	decidedByBalancer    localReplyReason = iota // the decision module has decided so
+	decidedByBalancer    localReplyReason = iota // the decision module, which chooses hosts, has decided so
 	processShuttingDown                          // the process is shutting down
-	forbiddenByRules                             // the fleet's rules reject it
-	noUsableHost                                 // no pool that it may use has a host that accepts new requests
-	quotaExceeded                                // its account's quota over the fleet is used up
+	forbiddenByRules                             // the rules on which all proxies agree reject it
+	noUsableHost                                 // no pool (subset of hosts) that it may use has a host that accepts new requests
+	quotaExceeded                                // its account's quota over all proxies is used up
 	retryUnsafe                                  // it may have run, and is not idempotent
 	hostNotListed                                // the host at which it is open is not in the endpoint list
 	blockedByInvariant                           // a rule forbids the attempt at the host at which it is open
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -22,7 +22,7 @@
 	// notified of a slow host.
 	latencyReportInterval = int64(time.Second)
 	// slowObjectiveDivisor defines a slow host: its messages take longer than the shortest message
-	// latency objective divided by slowObjectiveDivisor.
+	// latency objective of all classes, divided by slowObjectiveDivisor.
 	slowObjectiveDivisor = 3
 )
 
--- a/internal/dataplane/proxy/migrations.go
+++ b/internal/dataplane/proxy/migrations.go
@@ -22,7 +22,7 @@
 )
 
 // migrationPacer migrates the clients of suspended hosts, and of connections whose certificate is
-// about to expire, at the fleet's rate.
+// about to expire, at the rate that applies to all proxies together.
 type migrationPacer struct {
 	loop      *netio.Loop
 	pacer     Pacer         // nil if migrations need no permits
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -7,9 +7,9 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// ReassignPools moves each host to the pool that the rules in force assign it to, and removes pools
-// that are not used any more. It also counts open connections against limits that are new to their
-// accounts.
+// ReassignPools moves each host to the pool, the subset of hosts with one balancer, that the rules
+// in force assign it to, and removes pools that are not used any more. It also counts open
+// connections against limits that are new to their accounts.
 func (c *Core) ReassignPools() {
 	c.countExistingConnections()
 	reassigned := 0
@@ -26,7 +26,7 @@
 }
 
 // transferHost moves a host to another pool, with its open connections. Its ejection and slow-start
-// budget (the new connections that it may get while it warms up) move too, since the host itself has
+// budget (how much it may get while it warms up) move too, since the host itself has
 // not changed. Attempts of requests of the old pool end
 // if their first line is not written yet.
 // If to is nil, the host is between two pools, and keeps the snapshot of the old pool's balancer until
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -35,8 +35,8 @@
 	core        *Core
 	downstream  Downstream
 	requestLine RequestLine
-	attributes  balancer.Request // the request as the decision module knows it
-	tenant      string           // as the client named it; "" after a hot restart
+	attributes  balancer.Request // the request as the decision module, which chooses hosts, knows it
+	tenant      string           // as the client named it; "" if another process handed the connection over
 	deadline    int64            // ns of the loop's time, by which the client expects its answer; 0 for a connection that was handed over
 
 	// pool is the pool whose balancer places the request and, once the connection is open, the
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -140,15 +140,15 @@
 	}
 }
 
-// RestoreBalancer restores the state of the other process's decision module in this one's. It is
+// RestoreBalancer restores the state of the other process's decision module, s, in this process's. It is
 // called after Run.
 func (c *Core) RestoreBalancer(s balancer.Snapshot) {
 	c.notify(nil, c.pools.main, func(now balancer.Time, m Balancer) { m.Restore(now, s) })
 }
 
 // Snapshot returns the state for the next process, without Discovery and Revision, which the caller
-// sets. If yield is true, this process gives up its slow-start budgets (the new connections that it
-// may place on hosts that are warming up) to the next one.
+// sets. If yield is true, this process gives up its slow-start budgets (how much it may still
+// place on hosts that are warming up) to the next one.
 func (c *Core) Snapshot(yield bool) *Snapshot {
 	s := &Snapshot{
 		WrittenAt:  c.loop.Now(),
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -23,9 +23,9 @@
 		done(true)
 		return
 	}
-	// The change is in force here from now on. done is called once the change is stored.
-	// The other process is notified even if nothing changed here, because an earlier call may have
-	// reached only one of the two.
+	// The change is in force here from now on. done is called once the change is stored. The other
+	// process of a hot restart is notified even if nothing changed here, because an earlier call
+	// may have reached only one of the two.
 	c.handover.successor.HostSuspended(id, suspended, func() { done(true) })
 }
 
@@ -46,8 +46,8 @@
 	}
 }
 
-// SetFleetSuspensions applies the complete list of hosts that are suspended for the fleet. The
-// fleet's suspension of a host that is no longer listed ends.
+// SetFleetSuspensions applies the complete list of hosts that operators have suspended for the fleet,
+// which is all proxies. The fleet's suspension of a host that is not in ids ends.
 func (c *Core) SetFleetSuspensions(ids []string) {
 	suspensions := c.hosts.suspensions
 	previous := map[string]maintenance.Suspension{}
