--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -98,8 +98,7 @@
 }
 
 // finish ends the call with its response or its error, keeps the connection for the next call if the
-// connection can carry one, and calls done. It does nothing
-// if the call has ended.
+// connection can carry one, and calls done. It does nothing if the call has ended.
 func (q *call) finish(r *response, err error) {
 	if q.done == nil {
 		return
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -22,8 +22,7 @@
 	maxWatchTimeout      = 20 * time.Second
 	watchTimeoutPerProxy = 250 * time.Millisecond
 	// watchAnswerTimeout is how long the answer may take beyond the time for which discovery may hold the
-	// call (watchTimeout). It is shorter than the 2 s
-	// after which a list counts as received late.
+	// call (watchTimeout). It is shorter than the 2 s after which a list counts as received late.
 	watchAnswerTimeout = 1200 * time.Millisecond
 	// fullListTimeout bounds a call for the complete list. It is longer than discovery's own limit of 2 s: a
 	// call that is ended and repeated sooner would add to the load of a slow discovery.
@@ -139,9 +138,9 @@
 	c.callWatch()
 }
 
-// callWatch makes the next call of the watch. Without a list it calls for the complete list. The
-// next call is made right after an answer, because discovery ends a watch whose next call does not arrive
-// within 200 ms of the last answer.
+// callWatch makes the next call of the watch. Without a list it calls for the complete list. The next call
+// is made right after an answer, because discovery ends a watch if the next call does not arrive within
+// 200 ms of the last answer.
 func (c *Client) callWatch() {
 	target, timeout := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
 	if c.revision < 0 {
--- a/internal/dataplane/handshake/bucket.go
+++ b/internal/dataplane/handshake/bucket.go
@@ -12,8 +12,8 @@
 	filledAt                    int64 // time of the last refill, in nanoseconds
 }
 
-// newBucket returns a full bucket. Its capacity is the number of tokens that the rate yields in burst, but
-// at least minCapacity.
+// newBucket returns a full bucket. Its capacity is the number of tokens that the rate yields in
+// burst, but at least minCapacity.
 func newBucket(perSecond float64, burst time.Duration, minCapacity float64, now int64) tokenBucket {
 	size := math.Max(perSecond*burst.Seconds(), minCapacity)
 	return tokenBucket{tokens: size, capacity: size, perSecond: perSecond, filledAt: now}
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -1,13 +1,12 @@
 // Package handshake decides which TLS handshakes may begin, and when. It does no I/O and reads no
 // clock: callers pass in the time in nanoseconds, and the same calls return the same results.
 //
-// A handshake costs far more CPU than a relayed line, and the drain of a host or of another proxy causes
-// many at once. The budget
-// limits the CPU that they take from established connections (a share of a core), the full
-// handshakes per second of one host and of all, and how many are in flight. Hosts take turns, so
-// that a slow or popular host does not delay the others. Enqueue rejects a handshake at once if it
-// cannot be done before its deadline, while the caller still has time for another host. Next drops
-// one that becomes too late while it waits.
+// A handshake costs far more CPU than a relayed line, and the drain of a host or of another proxy
+// causes many at once. The budget limits the CPU that they take from established connections (a
+// share of a core), the full handshakes per second of one host and of all, and how many are in
+// flight. Hosts take turns, so that a slow or popular host does not delay the others. Enqueue
+// rejects a handshake at once if it cannot be done before its deadline, while the caller still has
+// time for another host. Next drops one that becomes too late while it waits.
 package handshake
 
 import (
--- a/internal/dataplane/handshake/budget_test.go
+++ b/internal/dataplane/handshake/budget_test.go
@@ -49,8 +49,8 @@
 	if began+rejected+len(late) != 500 || b.Waiting()+b.InFlight() != 0 {
 		t.Errorf("%d began, %d rejected and %d late, want 500 in all and none left; budget: %s", began, rejected, len(late), b.Describe())
 	}
-	// The bound is 0.3 s of CPU per second at 1 ms each, plus 30 ms of burst, one handshake that overdraws
-	// the bucket, and those that were charged by the lower initial estimate.
+	// The bound is 0.3 s of CPU per second at 1 ms each, plus 30 ms of burst, one handshake that
+	// overdraws the bucket, and those that were charged by the lower initial estimate.
 	if last > 1000*ms || began > 345 || began < 250 {
 		t.Errorf("%d handshakes began, the last at %d ms; want 250 to 345 until 1000 ms", began, last/ms)
 	}
--- a/internal/dataplane/handshake/next.go
+++ b/internal/dataplane/handshake/next.go
@@ -6,9 +6,9 @@
 )
 
 // Next begins the handshakes that may begin now. It returns their IDs in order, the IDs of the
-// requests that it dropped because their handshakes cannot be done before their deadlines any more, and
-// after how long, at least 100 µs, to call Next again. A zero
-// callAgainAfter means to call it only after Enqueue or Done.
+// requests that it dropped because their handshakes cannot be done before their deadlines any more,
+// and after how long, at least 100 µs, to call Next again. A zero callAgainAfter means to call it
+// only after Enqueue or Done.
 func (b *Budget) Next(now int64) (begin, late []uint64, callAgainAfter time.Duration) {
 	b.refill(now)
 	wakeAfter := math.Inf(1) // no handshake waits for time to pass
@@ -58,8 +58,9 @@
 	return nil, wakeAfter
 }
 
-// dropLate drops the first requests of a host whose handshakes cannot be done before their deadlines any
-// more, since less than half of the mean duration is left, and appends their IDs to late.
+// dropLate drops the first requests of a host whose handshakes cannot be done before their
+// deadlines any more, since less than half of the mean duration is left, and appends their IDs to
+// late.
 func (b *Budget) dropLate(now int64, h *host, late *[]uint64) {
 	for len(h.queue) > 0 && float64(h.queue[0].deadline) < float64(now)+b.meanDuration/2 {
 		r := h.queue[0]
@@ -81,8 +82,8 @@
 	return delay
 }
 
-// begin removes r, the first request in the queue of its host, from the queue, records r as in flight and
-// charges the buckets for it.
+// begin removes r, the first request in the queue of its host, from the queue, records r as in
+// flight and charges the buckets for it.
 func (b *Budget) begin(now int64, r *request) {
 	h, cost := r.host, b.weight(r.resumed)
 	h.queue[0] = nil
--- a/internal/dataplane/invariant/checks.go
+++ b/internal/dataplane/invariant/checks.go
@@ -7,8 +7,8 @@
 )
 
 // CheckAttempt returns the rule that forbids the request to begin another attempt at h at time now,
-// or None if the attempt may begin. It counts a blocked attempt. now and all times of this package are
-// in nanoseconds of the caller's clock.
+// or None if the attempt may begin. It counts a blocked attempt. now and all times of this package
+// are in nanoseconds of the caller's clock.
 func (r *Request) CheckAttempt(now int64, h Host) Rule {
 	rule := r.checkSend(now, h)
 	if rule == None {
@@ -58,8 +58,8 @@
 	return None
 }
 
-// sharesDedupMemory reports whether h shares its dedup memory, the record of idempotency keys that have
-// run, with the host of the first attempt that may have run. If so, h discards a retry.
+// sharesDedupMemory reports whether h shares its dedup memory, the record of idempotency keys that
+// have run, with the host of the first attempt that may have run. If so, h discards a retry.
 func (r *Request) sharesDedupMemory(h Host) bool {
 	switch r.Class.DedupScope {
 	case balancer.ScopeZone:
@@ -79,11 +79,10 @@
 	return None
 }
 
-// RetryUntil returns the time, in nanoseconds of the caller's clock, from which no first line may be
-// written. Hosts
-// discard retries with an idempotency key during the dedup window, which begins with the first
-// attempt that may have run; a request retried later would run twice. RetryUntil returns
-// math.MaxInt64 if there is no limit.
+// RetryUntil returns the time, in nanoseconds of the caller's clock, from which no first line may
+// be written. Hosts discard retries with an idempotency key during the dedup window, which begins
+// with the first attempt that may have run; a request retried later would run twice. RetryUntil
+// returns math.MaxInt64 if there is no limit.
 func (r *Request) RetryUntil() int64 {
 	if !r.mayHaveRun || r.Class.Idempotency != balancer.IdempotentWithKey {
 		return math.MaxInt64
@@ -101,8 +100,9 @@
 	return !r.MayHaveRun() || r.Class.Idempotency == balancer.Idempotent || r.Class.Idempotency == balancer.IdempotentWithKey && r.Class.DedupScope == balancer.ScopeAll
 }
 
-// MayPlaceAgain reports whether the request may be placed by a balancer, an instance of the decision
-// module, that does not know the request's earlier attempts. It does not consider an attempt in flight.
+// MayPlaceAgain reports whether the request may be placed by a balancer, an instance of the
+// decision module, that does not know the request's earlier attempts. It does not consider an
+// attempt in flight.
 func (r *Request) MayPlaceAgain() bool {
 	return !r.mayHaveRun || r.Class.Idempotency == balancer.Idempotent
 }
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -8,8 +8,9 @@
 
 const second = int64(1e9) // in nanoseconds
 
-// servedOnce returns a request and its monitor. One attempt of the request, begun at second 1, has ended and
-// may have run at a host in zone a and cell 1. The dedup window is 2 s, the deadline at second 10.
+// servedOnce returns a request and its monitor. One attempt of the request, begun at second 1, has
+// ended and may have run at a host in zone a and cell 1. The dedup window is 2 s, the deadline at
+// second 10.
 func servedOnce(idempotency balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
 	m := NewMonitor(func(Rule, string) {})
 	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: idempotency, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, MaxAttempts: 3}
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -1,8 +1,8 @@
 package invariant
 
-// AttemptBegan records that an attempt at h begins at time now. If a rule forbids the attempt, it counts
-// the rule as broken, one at most. For the rules that depend on time it allows for a pause of the
-// process of MaxPause since the caller checked them.
+// AttemptBegan records that an attempt at h begins at time now. If a rule forbids the attempt, it
+// counts the rule as broken, one at most. For the rules that depend on time it allows for a pause
+// of the process of MaxPause since the caller checked them.
 func (r *Request) AttemptBegan(now int64, h Host) {
 	rule := r.checkAttemptLimit()
 	if r.attemptInFlight {
@@ -46,8 +46,8 @@
 // connection over to this process.
 func (r *Request) TakenOver() { r.client = established }
 
-// Accepted records that the host's acceptance, the client's answer, is sent to the client. A client that
-// has left stays so.
+// Accepted records that the host's acceptance, the client's answer, is sent to the client. A client
+// that has left stays so.
 func (r *Request) Accepted(now int64) {
 	r.recordAnswer(now)
 	if r.client != clientLeft {
@@ -66,9 +66,9 @@
 	r.recordAnswer(now)
 }
 
-// recordAnswer records an answer at time now. It counts an answer to a request that has its answer, or
-// whose client has left, as breaking SingleAnswer, and an answer that comes more than answerSlack after
-// the deadline as breaking AnswerInTime.
+// recordAnswer records an answer at time now. It counts an answer to a request that has its answer,
+// or whose client has left, as breaking SingleAnswer, and an answer that comes more than
+// answerSlack after the deadline as breaking AnswerInTime.
 func (r *Request) recordAnswer(now int64) {
 	if r.client != awaitingAnswer {
 		r.Monitor.countBroken(SingleAnswer, r.ID)
--- a/internal/dataplane/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -56,8 +56,9 @@
 	Class       *balancer.Class
 	Deadline    int64 // ns, on the caller's clock
 	MaxAttempts int   // math.MaxInt means no limit
-	// Adopted marks a request whose connection was open at its host before this proxy's start. It goes
-	// to no other host. The host need not be ready, because a draining host still accepts such a request.
+	// Adopted marks a request whose connection was open at its host before this proxy's start. It
+	// goes to no other host. The host need not be ready, because a draining host still accepts such
+	// a request.
 	Adopted bool
 
 	client          clientState
--- a/internal/dataplane/invariant/rule.go
+++ b/internal/dataplane/invariant/rule.go
@@ -1,5 +1,6 @@
-// Package invariant holds the rules that no action on a request may break. An action is the start of
-// an attempt to serve the request at a host, the writing of its first line, or an answer to the client.
+// Package invariant holds the rules that no action on a request may break. An action is the start
+// of an attempt to serve the request at a host, the writing of its first line, or an answer to the
+// client.
 //
 // The caller queries a Request before an action (CheckAttempt, CheckWrite, MayReject,
 // MayPlaceAgain) and does not carry out what a rule forbids. It also notifies the Request of each
--- a/internal/dataplane/netio/attach.go
+++ b/internal/dataplane/netio/attach.go
@@ -19,7 +19,7 @@
 type pollerEnvironment struct {
 	sync.Mutex
 	loop    *Loop          // guarded by the mutex; replaced by each Attach
-	barrier *pollerBarrier // parks the poller; set by the first Attach
+	barrier *pollerBarrier // parks the poller, the goroutine that reads and accepts; set by the first Attach
 	gate    *loopGate      // set by the first Attach
 }
 
@@ -74,8 +74,8 @@
 )
 
 // startPoller makes netpoll open its poller. It tries up to maxPollerStarts times, and returns the error of
-// the last one. By default netpoll
-// opens it on first use, on any goroutine, and panics if the kernel has no resources for it.
+// the last one. By default netpoll opens it on first use, on any goroutine, and panics if the kernel has no
+// resources for it.
 func startPoller(c netpoll.Config) (err error) {
 	for range maxPollerStarts {
 		if err = netpoll.Configure(c); err == nil {
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -26,7 +26,7 @@
 		c.finishPause(np)
 		return nil
 	}
-	kept := c.socket.fd >= 0 && c.keepDescriptor() // netpoll closed it, but neither side ended it
+	kept := c.socket.fd >= 0 && c.keepDescriptor() // true if netpoll closed it, but neither side ended it
 	if c.socket.fd >= 0 && !kept {
 		cause = c.endCause()
 		c.socket.fd = -1 // another connection may get the number from here on
@@ -204,8 +204,8 @@
 	c.closeSocket()
 }
 
-// Finish closes the direction to the peer after the last line, and discards input until the peer hangs up or
-// lingerTimeout passes. Close would send a reset if input is unread, and the reset can overtake the last line.
+// Finish closes the direction to the peer after the last line, and discards input until the peer hangs up
+// or lingerTimeout passes. If input is unread, Close would send a reset, which can overtake the last line.
 func (c *Conn) Finish() {
 	if c.ended {
 		return
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -136,8 +136,8 @@
 	return n.Addr(), Serve(l, n, limit, accept)
 }
 
-// maxListenerFailures is how many times after one Serve netpoll's accept loop may fail until the process exits, with
-// listenerRetryPause after each failure.
+// maxListenerFailures is how many times after one Serve netpoll's accept loop may fail until the process
+// exits, with listenerRetryPause after each failure.
 const (
 	maxListenerFailures = 50
 	listenerRetryPause  = 100 * time.Millisecond
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -33,7 +33,8 @@
 func (a *admission) release() { a.downstreams-- }
 
 // Admit reserves capacity for one more downstream, and reports whether there was any.
-// DownstreamEnded releases the capacity. class is the class of the downstream's request, for the metrics.
+// DownstreamEnded releases the capacity. class is the class of the downstream's request, for the
+// metrics.
 func (c *Core) Admit(class string) bool {
 	if c.admission.acquire() {
 		return true
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -95,8 +95,8 @@
 }
 
 // notifyClientLeft notifies the balancer that nobody waits for the request any more. An adopted
-// request, whose connection was open before this proxy's start, is unknown to the balancer until it is
-// established.
+// request, whose connection was open before this proxy's start, is unknown to the balancer until it
+// is established.
 func (r *Request) notifyClientLeft() {
 	if r.adopted {
 		return
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -29,8 +29,8 @@
 	loadReport   []float64   // the load report of the host's answer or last message, in the settings' order of fields; may be nil
 	load         float64     // the connection's load in µs of work per second, as the host last reported it; 0 if unknown
 	previousLoad float64     // µs of work per second, the load reported before that; 0 if unknown
-	// unansweredSince holds the times, in nanoseconds, at which the client's unanswered lines were sent
-	// to the host: the oldest first, and at most maxUnansweredLines.
+	// unansweredSince holds the times, in nanoseconds, at which the client's unanswered lines were
+	// sent to the host: the oldest first, and at most maxUnansweredLines.
 	unansweredSince []int64
 }
 
@@ -144,7 +144,8 @@
 	return true
 }
 
-// finish ends an attempt that is not established. It closes the connection before it notifies the
+// finish ends an attempt that is not established, unless it has ended. cause is that of Upstream.End;
+// netio.Ended closes the connection in order. finish closes the connection before it notifies the
 // balancer, which may then begin another attempt.
 func (a *upstreamRequest) finish(status balancer.AttemptStatus, cause netio.Cause) {
 	if !a.detach() {
--- a/internal/dataplane/proxy/certexpiry_test.go
+++ b/internal/dataplane/proxy/certexpiry_test.go
@@ -17,8 +17,8 @@
 
 func (r *expiringUpstream) Expires() time.Time { return r.expiresAt }
 
-// A connection must be migrated before its certificate expires, and the balancer notified. A connection
-// without a certificate stays open, and so do all connections if migration is off.
+// A connection must be migrated before its certificate expires, and the balancer notified. A
+// connection without a certificate stays open, and so do all connections if migration is off.
 func TestMigratedBeforeItsCertificateEnds(t *testing.T) {
 	for _, enabled := range []bool{true, false} {
 		w := newHarness(t)
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -112,8 +112,8 @@
 
 // Run starts the core with discovery d and the endpoint list initialList. newBalancer creates a
 // balancer that requests its actions, such as to start an attempt, from fx; the core calls
-// newBalancer once for each pool. Run returns an
-// error if it cannot create the balancer of the pool main.
+// newBalancer once for each pool. Run returns an error if it cannot create the balancer of the pool
+// main.
 func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, initialList WatchEvent) (err error) {
 	c.discovery = d
 	c.pools.newBalancer = func(p *pool) (Balancer, error) { return newBalancer(&effects{c, p}) }
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Metrics returns all metrics as text. Hosts that operators have suspended or the balancer has ejected
-// count as disabled.
+// Metrics returns all metrics as text. Hosts that operators have suspended or the balancer has
+// ejected count as disabled.
 func (c *Core) Metrics() []byte {
 	open, pending := c.countRequests()
 	gauges := metrics.Gauges{Concurrent: open + pending}
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -9,8 +9,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Successor receives the state that must outlive this process, which a hot restart replaces by another
-// process of the same proxy: suspensions of hosts by operators, the endpoint list and open
+// Successor receives the state that must outlive this process, which a hot restart replaces by
+// another process of the same proxy: suspensions of hosts by operators, the endpoint list and open
 // connections.
 type Successor interface {
 	// HostSuspended stores the suspension of the host with this ID, or its end. It calls done on
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// open sends a request of class c and tenant t, whose client waits 1 s. It returns Core.Open's result.
+// open returns the result of Core.Open for a request of class c and tenant t with a wait of 1 s.
 func (w *harness) open(id string) *Request {
 	return w.core.Open(&fakeDownstream{w, id}, &Opening{ID: id, Class: "c", Tenant: "t", Wait: time.Second, HasWait: true}, nil)
 }
@@ -100,8 +100,8 @@
 	}
 }
 
-// serve opens a request that host A accepts, and returns the request and its upstream. It clears events, and
-// onEvent stays as set here.
+// serve opens a request that host A accepts, and returns the request and its upstream. It clears
+// events, and onEvent stays as set here.
 func (w *harness) serve(id string) (*Request, *fakeUpstream) {
 	w.onEvent = func(e string) {
 		if e == "request "+id {
--- a/internal/dataplane/proxy/hoststart_test.go
+++ b/internal/dataplane/proxy/hoststart_test.go
@@ -11,7 +11,8 @@
 // warming up, whether the clock of its own machine was set as well or not. Otherwise it would be
 // overloaded.
 func TestHostStartAfterTheClockWasSet(t *testing.T) {
-	// step is by how much the system's clock of this proxy is set; setAtHost sets the host's by the same.
+	// step is by how much the system's clock of this proxy is set; setAtHost sets the host's by the
+	// same.
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		for _, setAtHost := range []bool{true, false} {
 			w := newHarness(t)
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -7,16 +7,18 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Balancer is the part of the decision module, the code that chooses hosts for requests, that the core
-// calls. The core calls a Balancer from one goroutine, and never while it handles another call. Times are
-// in nanoseconds. A Balancer knows the hosts of one pool, and requests actions by balancer.Effects.
+// Balancer is the part of the decision module, the code that chooses hosts for requests, that the
+// core calls. The core calls a Balancer from one goroutine, and never while it handles another
+// call. Times are in nanoseconds. A Balancer knows the hosts of one pool, and requests actions by
+// balancer.Effects.
 type Balancer interface {
-	// RequestArrived places a request: the balancer starts an attempt, or queues or rejects the request.
+	// RequestArrived places a request: the balancer starts an attempt, or queues or rejects the
+	// request.
 	RequestArrived(now balancer.Time, q balancer.Request)
 	// ConnectionAdopted reports an open connection at host that the balancer has not placed.
 	ConnectionAdopted(now balancer.Time, q balancer.Request, host string)
-	// AttemptEstablished reports that the host has accepted the request with this ID, elapsed after the
-	// attempt began. attempt counts the request's attempts in its present pool, from 0.
+	// AttemptEstablished reports that the host has accepted the request with this ID, elapsed after
+	// the attempt began. attempt counts the request's attempts in its present pool, from 0.
 	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
 	// AttemptEnded reports the end of an attempt or of its open connection.
 	AttemptEnded(now balancer.Time, result balancer.AttemptResult)
@@ -37,9 +39,9 @@
 	// Ejected reports whether host is ejected because connections to it could not be set up. Until
 	// its next trial is due, an ejected host gets attempts only if no other host is available.
 	Ejected(now balancer.Time, host string) bool
-	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives up its
-	// slow-start budgets, which are how much it may still place on hosts that are warming up, to the
-	// process that restores the snapshot.
+	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives
+	// up its slow-start budgets, which are how much it may still place on hosts that are warming
+	// up, to the process that restores the snapshot.
 	Snapshot(yield bool) balancer.Snapshot
 	// Restore takes over the state in another balancer's snapshot.
 	Restore(now balancer.Time, snapshot balancer.Snapshot)
--- a/internal/dataplane/proxy/invalid.go
+++ b/internal/dataplane/proxy/invalid.go
@@ -43,8 +43,8 @@
 	return fmt.Sprintf("%s: %q", e.Reason, e.Value)
 }
 
-// ReportInvalidRequest counts a client's invalid input, and logs the first one since the counters were
-// last logged, which happens every countsInterval.
+// ReportInvalidRequest counts a client's invalid input, and logs the first one since the counters
+// were last logged, which happens every countsInterval.
 func (c *Core) ReportInvalidRequest(err error) {
 	c.counters.invalid++
 	if c.counters.invalid > 1 {
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -1,8 +1,7 @@
 // Package proxy is the core between clients and upstream hosts. It owns each request on both sides,
 // applies the rules that hold for every protocol, and is the only caller of the decision module,
-// the code that chooses a host for each request.
-// The packages that implement the interfaces in interfaces.go know the protocols of clients and
-// upstream hosts.
+// the code that chooses a host for each request. The packages that implement the interfaces in
+// interfaces.go know the protocols of clients and upstream hosts.
 //
 // All code of this package runs on the event loop, one event after the other.
 //
@@ -10,13 +9,14 @@
 //
 // A request passes these checks in order, from its first line to its answer:
 //
-//  1. Core.Admit: capacity, in file descriptors, of the two processes (during a hot restart) of this
-//     proxy together. If none is left, the request is rejected.
+//  1. Core.Admit: capacity, in file descriptors, of the two processes that a proxy has during a hot
+//     restart. If none is left, the request is rejected.
 //  2. Core.validate: the settings name the class and tenant, and the ID is not in use. Otherwise the
 //     request fails.
 //  3. Core.Open: a process that is shutting down rejects the request.
 //  4. Core.applyRules and Core.choosePlacement: the rules on which all proxies (the fleet) agree reject
-//     the request, or name its account and the pools, subsets of the hosts, that it may use. If none of these pools has a usable host, the request is rejected.
+//     the request, or name its account and the pools, subsets of the hosts, that it may use. If none of
+//     these pools has a usable host, the request is rejected.
 //  5. Core.answerTimeout: the request's deadline, which its class limits. If the decision module has not
 //     answered overdueGrace after the deadline, Request.failUnresponsive fails the request.
 //  6. Core.acquireQuota: the account's quota over all proxies. If none is left, the request is rejected.
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -19,8 +19,8 @@
 	minPlausibleFirstLoad = 1500 // µs/s; the same for a connection's first figure, which is likelier a delay
 	maxPlausibleDelay     = 4000 // ms; a figure of this size or more is always read as a load
 	maxFirstDelay         = 2500 // ms; a run of delays (several in a row) begins below this: a slower message is not waited for
-	// maxDelayStep is the largest change, in ms, from one delay to the next, which is reported a second
-	// later: work piles up no faster than it arrives.
+	// maxDelayStep is the largest change, in ms, from one delay to the next, which is reported a
+	// second later: work piles up no faster than it arrives.
 	maxDelayStep = 2000
 	maxLoadRatio = 3   // the largest factor by which a connection's load changes from one figure to the next
 	queueingLoad = 0.8 // load of a host divided by its capacity, from which its messages may wait
@@ -42,7 +42,7 @@
 // loadClassifier distinguishes loads from delays among the figures that one host reports. Times are
 // in nanoseconds.
 type loadClassifier struct {
-	delay   float64 // ms, the last figure classified as a delay
+	delay   float64 // the last figure classified as a delay, in ms
 	delayAt int64   // when that figure came; 0 if there was none
 
 	// candidate is the last figure small enough for a delay, however it was classified.
@@ -82,10 +82,10 @@
 	return figure < maxFirstDelay && (figure*maxLoadRatio < load || figure > load*maxLoadRatio)
 }
 
-// isDelayGivenLoad is isDelay for a host whose hostLoad, its load divided by its capacity, is known. No
-// message waits while capacity is left, so a small figure alone does not make a delay. conn is the
-// connection on which the figure came. If the first delay of
-// a run is taken for a load, the next one, a second later, corrects that.
+// isDelayGivenLoad is isDelay for a host whose hostLoad, its load divided by its capacity, is
+// known. No message waits while capacity is left, so a small figure alone does not make a delay.
+// conn is the connection on which the figure came. If the first delay of a run is taken for a load,
+// the next one, a second later, corrects that.
 func (d *loadClassifier) isDelayGivenLoad(now int64, figure float64, conn *upstreamRequest, hostLoad float64) bool {
 	steady := d.isSteady(now, steadyToleranceWithLoad)
 	return figure < maxPlausibleDelay && (steady && (d.candidateConn == conn || figure < minPlausibleLoad) || hostLoad >= queueingLoad && figure < minPlausibleLoad)
@@ -99,9 +99,9 @@
 	}
 }
 
-// loadFigureReceived classifies the figure of a LOAD line as the connection's load or the host's message
-// delay, records it, and notifies the balancer of it. Unless Options.DelayInLoad is set, each figure is
-// a load.
+// loadFigureReceived classifies the figure of a LOAD line as the connection's load or the host's
+// message delay, records it, and notifies the balancer of it. Unless Options.DelayInLoad is set,
+// each figure is a load.
 func (a *upstreamRequest) loadFigureReceived(figure float64) {
 	c, d := a.request.core, &a.host.loadFigures
 	now := c.loop.Now()
@@ -124,8 +124,8 @@
 	})
 }
 
-// observationKind returns the kind of observation as which a figure is reported to the balancer. delay
-// reports whether the figure is a delay and not a load.
+// observationKind returns the kind of observation as which a figure is reported to the balancer.
+// delay reports whether the figure is a delay and not a load.
 func observationKind(delay bool) balancer.Observation {
 	if delay {
 		return balancer.ObservedLatency
--- a/internal/dataplane/proxy/loadordelay_test.go
+++ b/internal/dataplane/proxy/loadordelay_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A message delay in milliseconds that is reported in the form of a load (µs of work per second) must be
-// recognised by the loads around it. In the events, observation 1 is a load and observation 2 a latency.
+// A message delay in milliseconds that is reported in the form of a load (µs of work per second)
+// must be recognised by the loads around it. In the events, observation 1 is a load and observation
+// 2 a latency.
 func TestDelayReportedAsLoad(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("q")
@@ -58,9 +59,10 @@
 	w.expect("observe p 2 62", "observe p 2 56")
 }
 
-// If a host's own load is known from a health check, small figures are loads while the host has capacity
-// left. Delays are recognised by the second one, exactly a second after the first. The load that the first
-// delay was taken for is then corrected. 0.4, 0.7 and 1.1 are the host's load divided by its capacity.
+// If a host's own load is known from a health check, small figures are loads while the host has
+// capacity left. Delays are recognised by the second one, exactly a second after the first. The
+// load that the first delay was taken for is then corrected. 0.4, 0.7 and 1.1 are the host's load
+// divided by its capacity.
 func TestDelayWithKnownHostLoad(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("q")
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -4,8 +4,8 @@
 
 // Opening holds what a client sends to open a connection.
 type Opening struct {
-	ID, Key              string // Key is the idempotency key, "" for none
-	Class, Tenant, Group string
+	ID, Key              string        // Key is the idempotency key, "" for none
+	Class, Tenant, Group string        // the clients of a Group are placed together; "" for no group
 	ExpectedLoad         float64       // load of the connection, in the unit of the settings; 0 if not given
 	Retry                bool          // the client marks the request as a retry
 	Returned             bool          // the client opens a connection again after a break or a migration
@@ -16,8 +16,8 @@
 
 // RequestLine is the client's opening in the form in which it is sent to an upstream host.
 type RequestLine interface {
-	// WithWait returns the bytes of the line. It tells the host that the proxy waits for the answer as
-	// long as wait.
+	// WithWait returns the bytes of the line. It tells the host that the proxy waits for the answer
+	// as long as wait.
 	WithWait(wait time.Duration) []byte
 }
 
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -59,8 +59,8 @@
 	return latency
 }
 
-// shouldReport reports whether to report a latency: while the latency is above the threshold, and once
-// more when it no longer is. If shouldReport returns true, it records a report at time now.
+// shouldReport reports whether to report a latency: while the latency is above the threshold, and
+// once more when it no longer is. If shouldReport returns true, it records a report at time now.
 func (l *messageLatency) shouldReport(now, latency, threshold int64) bool {
 	slow := latency > threshold
 	if !slow && !l.reportedAsSlow {
@@ -104,9 +104,10 @@
 	}
 }
 
-// reportLatency notifies the decision module of how long messages take at a slow host, and once more
-// when the host is no longer slow. It reports one observation on any of the host's connections, at most
-// once per latencyReportInterval, and none if no class has a message latency objective.
+// reportLatency notifies the decision module of how long messages take at a slow host, and once
+// more when the host is no longer slow. It reports one observation on any of the host's
+// connections, at most once per latencyReportInterval, and none if no class has a message latency
+// objective.
 func (c *Core) reportLatency(h *host, now int64) {
 	objective := c.shortestMessageObjective()
 	l := &h.latency
--- a/internal/dataplane/proxy/messagelatency_test.go
+++ b/internal/dataplane/proxy/messagelatency_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// A slow host, one whose latency exceeds the threshold, is reported while it is slow and once more when it
-// no longer is. An unanswered line counts with the time that the line has waited.
+// A slow host, one whose latency exceeds the threshold, is reported while it is slow and once more
+// when it no longer is. An unanswered line counts with the time that the line has waited.
 func TestMessageLatency(t *testing.T) {
 	const second, threshold = int64(time.Second), int64(50 * time.Millisecond)
 	latency := messageLatency{}
--- a/internal/dataplane/proxy/migrations.go
+++ b/internal/dataplane/proxy/migrations.go
@@ -51,8 +51,8 @@
 	p.pacer.RequestMigrations(len(p.pending), p.permitsGranted)
 }
 
-// permitsGranted migrates n clients, and requests permits again after pacerInterval for those that still
-// wait.
+// permitsGranted migrates n clients, and requests permits again after pacerInterval for those that
+// still wait.
 func (p *migrationPacer) permitsGranted(n int) {
 	p.requested = false
 	for n > 0 && len(p.pending) > 0 {
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -52,9 +52,10 @@
 	return r
 }
 
-// validate returns an error if an opening cannot be served. The class must be known, since it determines
-// the deadline and the idempotency. The ID must identify one request. The tenant must be one that the
-// settings name, since hosts know no other; if the settings name no tenants, any is valid.
+// validate returns an error if an opening cannot be served. The class must be known, since it
+// determines the deadline and the idempotency. The ID must identify one request. The tenant must be
+// one that the settings name, since hosts know no other; if the settings name no tenants, any is
+// valid.
 func (c *Core) validate(o *Opening) error {
 	_, classKnown := c.names.classes[o.Class]
 	_, tenantKnown := c.names.tenants[o.Tenant]
@@ -90,9 +91,9 @@
 	d.Reject(after)
 }
 
-// choosePlacement returns the first pool, in the verdict's order, that has a usable host. If there is
-// none, it returns nil and turns the verdict into a rejection. reason is the reason of a rejection, and
-// has no meaning otherwise.
+// choosePlacement returns the first pool, in the verdict's order, that has a usable host. If there
+// is none, it returns nil and turns the verdict into a rejection. reason is the reason of a
+// rejection, and has no meaning otherwise.
 func (c *Core) choosePlacement(v *rules.Verdict) (chosen *pool, reason localReplyReason) {
 	chosen, reason = c.choosePool(v.Pools), forbiddenByRules
 	if chosen == nil && !v.Rejected {
--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// poolHarness runs a core with the real balancer, hosts of two kinds, m1 and m2, and rules that a test
-// changes. The rules split the hosts into pool p and the remaining ones, pool main.
+// poolHarness runs a core with the real balancer, hosts of two kinds, m1 and m2, and rules that a
+// test changes. The rules split the hosts into pool p and the remaining ones, pool main.
 type poolHarness struct {
 	*harness
 	test            *rapid.T
@@ -57,8 +57,8 @@
 	}
 }
 
-// newPoolHarness returns a harness with the hosts A to D, two of each kind, and version 1 of the rules in
-// force: pool p has the hosts of kind m1.
+// newPoolHarness returns a harness with the hosts A to D, two of each kind, and version 1 of the
+// rules in force: pool p has the hosts of kind m1.
 func newPoolHarness(t *rapid.T) *poolHarness {
 	w := &poolHarness{harness: newHarnessWithoutCore(nil), test: t, hosts: map[string]HostEntry{}, poolByHost: map[string]string{}, tenantByRequest: map[string]string{}, startsByRequest: map[string]int{},
 		poolKind: "m1", version: 1}
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -88,9 +88,9 @@
 	return c.pools.get(c.fleet.enforcer.Pool(h.hostID, h.listed.Kind, h.zone))
 }
 
-// choosePool returns the first of the named pools that has a usable host: one that accepts new requests
-// and that the rules permit. It returns nil if none has one, and main if names is nil, which means that
-// the rules name no pools.
+// choosePool returns the first of the named pools that has a usable host: one that accepts new
+// requests and that the rules permit. It returns nil if none has one, and main if names is nil,
+// which means that the rules name no pools.
 func (c *Core) choosePool(names []string) *pool {
 	if names == nil {
 		return c.pools.main
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// A request whose host resets the connection may have run. If the request must not run twice, the balancer
-// of another pool must not place it again, because that balancer does not know of the earlier attempt.
+// A request whose host resets the connection may have run. If the request must not run twice, the
+// balancer of another pool must not place it again, because that balancer does not know of the
+// earlier attempt.
 func TestRequestThatMayHaveRunIsNotPlacedAgain(t *testing.T) {
 	for idempotency, want := range map[balancer.Idempotency]string{balancer.IdempotentWithKey: "fail r", balancer.Idempotent: "start at-B"} {
 		w := newHarnessWithoutCore(t)
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -12,8 +12,8 @@
 	IsLimited(account string) bool
 	// Acquire reserves quota for one connection of an account, and calls done on the event loop
 	// with the result. exceeded names the limit that is used up, and is "" if the quota was
-	// reserved. retryAfter is the Retry-After of a rejection. spread is a number in [0, 1) that differs
-	// between requests, so that their retries do not come at the same time.
+	// reserved. retryAfter is the Retry-After of a rejection. spread is a number in [0, 1) that
+	// differs between requests, so that their retries do not come at the same time.
 	Acquire(account string, spread float64, done func(exceeded string, retryAfter time.Duration))
 	// CountExisting counts a connection that is open already, whether or not quota is left.
 	CountExisting(account string)
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -33,8 +33,8 @@
 	done(exceeded, retryAfter)
 }
 
-// newQuotaHarness returns a harness whose tenant t belongs to account a, which has a quota, and the Quota
-// whose replies the test sends. The balancer places request r at host A.
+// newQuotaHarness returns a harness whose tenant t belongs to account a, which has a quota, and the
+// Quota whose replies the test sends. The balancer places request r at host A.
 func newQuotaHarness(t *testing.T) (*harness, *fakeQuota) {
 	t.Helper()
 	w := newHarness(t)
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -26,11 +26,10 @@
 }
 
 // transferHost moves a host to another pool, with its open connections. Its ejection and slow-start
-// budget (how much it may get while it warms up) move too, since the host itself has
-// not changed. Attempts of requests of the old pool end
-// if their first line is not written yet.
-// If to is nil, the host is between two pools, and keeps the snapshot of the old pool's balancer until
-// the next transfer.
+// budget (how much it may get while it warms up) move too, since the host itself has not changed.
+// Attempts of requests of the old pool end if their first line is not written yet. If to is nil,
+// the host is between two pools, and keeps the snapshot of the old pool's balancer until the next
+// transfer.
 func (c *Core) transferHost(h *host, to *pool) {
 	from := h.pool
 	h.pool = to
@@ -91,12 +90,10 @@
 	}
 }
 
-// placeInPool places a request again in another pool, because the rules have changed since the request
-// came. A
-// request that may have run and is not idempotent fails, since the other pool's balancer does not
-// know its attempts. number is the attempt in the old pool that was not
-// begun. If to is nil, no pool has a usable
-// host, and the request is rejected or fails.
+// placeInPool places a request again in another pool, because the rules have changed since the
+// request came. A request that may have run and is not idempotent fails, since the other pool's
+// balancer does not know its attempts. number is the attempt in the old pool that was not begun. If
+// to is nil, no pool has a usable host, and the request is rejected or fails.
 func (c *Core) placeInPool(r *Request, number int, to *pool) {
 	r.notifyNotBegun(number, balancer.TooLate, func() bool { return true })
 	if to == nil {
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -89,8 +89,8 @@
 	return r.attempt.conn.Stage().String()
 }
 
-// requestPlacement asks the balancer of the request's pool to place the request, unless the request has
-// its answer by the time at which the balancer handles the event.
+// requestPlacement asks the balancer of the request's pool to place the request, unless the request
+// has its answer by the time at which the balancer handles the event.
 func (r *Request) requestPlacement() {
 	r.core.notify(r, r.pool, func(now balancer.Time, m Balancer) {
 		if r.answered() {
@@ -102,8 +102,8 @@
 	})
 }
 
-// removeIfDone closes the request in any case. If no attempt is left, it also removes the request from
-// the core's table and releases its quota.
+// removeIfDone closes the request in any case. If no attempt is left, it also removes the request
+// from the core's table and releases its quota.
 func (r *Request) removeIfDone() {
 	r.becomeClosed()
 	if r.attempt == nil && r.core.requests[r.attributes.ID] == r {
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -19,7 +19,7 @@
 		return false
 	}
 	if rule := a.request.record.CheckWrite(a.request.core.loop.Now(), a.host.invariantHost()); rule != invariant.None {
-		a.finish(a.request.attemptBlocked(rule, a.host), netio.Ended)
+		a.finish(a.request.attemptBlocked(rule, a.host), netio.Ended) // closes the connection in order
 		return false
 	}
 	return true
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -9,10 +9,10 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// openWithKey returns a harness with a request q of a class that is idempotent by key, with a dedup window
-// of 500 ms, in which hosts discard a second run. The first attempt, at A, is reset after 300 ms, and the
-// second one, at B, begins at once: 200 ms of the window are left. In the events, status 5 is Reset and 7
-// TooLate.
+// openWithKey returns a harness with a request q of a class that is idempotent by key, with a dedup
+// window of 500 ms, in which hosts discard a second run. The first attempt, at A, is reset after
+// 300 ms, and the second one, at B, begins at once: 200 ms of the window are left. In the events,
+// status 5 is Reset and 7 TooLate.
 func openWithKey(t *testing.T) *harness {
 	t.Helper()
 	w := newHarness(t)
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -108,8 +108,8 @@
 	EndIdle(partial bool) int
 }
 
-// SetIdleDownstreams sets the connections without a complete request, which a shutdown ends. The shutdown
-// waits until answerBy for those that have sent part of a request.
+// SetIdleDownstreams sets the connections without a complete request, which a shutdown ends. The
+// shutdown waits until answerBy for those that have sent part of a request.
 func (c *Core) SetIdleDownstreams(d IdleDownstreams) { c.idleDownstreams = d }
 
 // shutdown holds the state of a process's shutdown, from SIGTERM to the end of the process.
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -10,9 +10,9 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// newSendingHarness returns a harness with a request q that is not idempotent and that the balancer has
-// placed at A. The balancer places q at B if the attempt at A ends with ConnectFailed (4), without having
-// run.
+// newSendingHarness returns a harness with a request q that is not idempotent and that the balancer
+// has placed at A. The balancer places q at B if the attempt at A ends with ConnectFailed (4),
+// without having run.
 func newSendingHarness(t *testing.T) *harness {
 	t.Helper()
 	w := newHarness(t)
@@ -97,8 +97,8 @@
 	}
 }
 
-// For every deadline, the times of a shutdown must be in order and before SIGKILL. A request whose deadline
-// is at most 3 s must have all of that time, plus overdueGrace.
+// For every deadline, the times of a shutdown must be in order and before SIGKILL. A request whose
+// deadline is at most 3 s must have all of that time, plus overdueGrace.
 func TestScheduleEndsBeforeTheKill(t *testing.T) {
 	for _, deadline := range []time.Duration{0, time.Millisecond, 100, 400, 1000, 2000, 2999, 3000, 4800, 60000} {
 		deadline *= time.Millisecond
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -43,9 +43,9 @@
 
 // Rebase converts the times of the snapshot to this process's clock, which reads now, in
 // nanoseconds. Each process's clock starts at the system's time, which may have been set in
-// between, by as much as an hour in either direction. live reports whether a running process wrote the
-// snapshot just now. The age of a snapshot from a file is unknown, so only one from the future is
-// converted.
+// between, by as much as an hour in either direction. live reports whether a running process wrote
+// the snapshot just now. The age of a snapshot from a file is unknown, so only one from the future
+// is converted.
 func (s *Snapshot) Rebase(now int64, live bool) {
 	offset := now - s.WrittenAt
 	if s.WrittenAt > 0 && (offset < 0 || live) && (offset <= -minClockStep || offset >= minClockStep) {
@@ -140,8 +140,8 @@
 	}
 }
 
-// RestoreBalancer restores the state of the other process's decision module, s, in this process's. It is
-// called after Run.
+// RestoreBalancer restores the state of the other process's decision module, s, in this process's.
+// It is called after Run.
 func (c *Core) RestoreBalancer(s balancer.Snapshot) {
 	c.notify(nil, c.pools.main, func(now balancer.Time, m Balancer) { m.Restore(now, s) })
 }
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -9,10 +9,9 @@
 )
 
 // SetSuspended suspends a host, so that it gets no new requests, or ends its suspension. It is
-// idempotent. It calls done on the loop. known is false if no list has ever contained the host, which
-// changes nothing. Otherwise known is true, and done is called once the change is stored for the next
-// process or storing it has failed.
-// Without a Successor it calls done at once.
+// idempotent. It calls done on the loop. known is false if no list has ever contained the host,
+// which changes nothing. Otherwise known is true, and done is called once the change is stored for
+// the next process or storing it has failed. Without a Successor it calls done at once.
 func (c *Core) SetSuspended(id string, suspended bool, done func(known bool)) {
 	if !c.hosts.suspensions.Known(id) {
 		done(false)
@@ -82,9 +81,9 @@
 	}
 }
 
-// startAfterSuspension returns the assumed start of a host whose suspension has ended. A suspended host
-// is usually restarted, and discovery may not have reported that yet. listed is the latest start that
-// it has reported. If the result is a guess, confirmStart corrects it after
+// startAfterSuspension returns the assumed start of a host whose suspension has ended. A suspended
+// host is usually restarted, and discovery may not have reported that yet. listed is the latest
+// start that it has reported. If the result is a guess, confirmStart corrects it after
 // maintenance.StartUncertainty.
 func (c *Core) startAfterSuspension(h *host, ended maintenance.Suspension, listed balancer.Time) balancer.Time {
 	start, isGuess := ended.StartOnResume(listed, c.loop.Now())
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -18,7 +18,8 @@
 func (noDiscovery) WatchList(bool) {}
 func (noDiscovery) FetchList()     {}
 
-// suspensionHarness runs a core with the real balancer, and records which hosts are suspended by operators.
+// suspensionHarness runs a core with the real balancer, and records which hosts are suspended by
+// operators.
 type suspensionHarness struct {
 	*harness
 	test         *rapid.T
@@ -47,8 +48,8 @@
 	return event
 }
 
-// startProcess starts a core, with class c and tenant t, from the snapshot of the previous process. A nil
-// snapshot means that there is none.
+// startProcess starts a core, with class c and tenant t, from the snapshot of the previous process.
+// A nil snapshot means that there is none.
 func (w *suspensionHarness) startProcess(snapshot *Snapshot) {
 	cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, SlowStartFloor: 0.2,
 		SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
@@ -78,7 +79,8 @@
 	}
 }
 
-// update changes the host with this ID at random in the endpoint list, and passes the change to the core.
+// update changes the host with this ID at random in the endpoint list, and passes the change to the
+// core.
 func (w *suspensionHarness) update(t *rapid.T, id string) {
 	h := w.hosts[id]
 	h.State = rapid.SampledFrom([]balancer.HostState{balancer.Ready, balancer.Draining, balancer.Removed}).Draw(t, "state")
@@ -95,8 +97,8 @@
 	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{h}})
 }
 
-// newSuspensionHarness returns a harness whose list has the given hosts, ready. t may be nil if no check can
-// fail.
+// newSuspensionHarness returns a harness whose list has the given hosts, ready. t may be nil if no
+// check can fail.
 func newSuspensionHarness(t *rapid.T, hosts ...string) *suspensionHarness {
 	w := &suspensionHarness{harness: newHarnessWithoutCore(nil), test: t, suspended: map[string]bool{}, startsByHost: map[string]int{}, hosts: map[string]HostEntry{}}
 	for _, id := range hosts {
@@ -149,8 +151,8 @@
 	}
 }
 
-// A host must be suspended while the list of hosts suspended for the fleet, all proxies, contains it, or a
-// call at this proxy suspends it.
+// A host must be suspended while the list of hosts suspended for the fleet, all proxies, contains
+// it, or a call at this proxy suspends it.
 func TestSuspendedByFleetOrOwnCall(t *testing.T) {
 	registry := maintenance.New()
 	at := time.Now().UnixNano()
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -10,17 +10,17 @@
 
 var _ UpstreamEvents = (*upstreamRequest)(nil)
 
-// UpstreamSent records that the last byte of the attempt's first line is written, so that the host may
-// act on it.
+// UpstreamSent records that the last byte of the attempt's first line is written, so that the host
+// may act on it.
 func (a *upstreamRequest) UpstreamSent() {
 	c := a.request.core
 	c.counters.metrics.CountDispatch()
 	a.request.record.LineWritten(c.loop.Now(), a.startedAt, a.host.invariantHost())
 }
 
-// FromUpstream handles a message from the host. Before the host's acceptance, a message is the answer;
-// afterwards it is relayed. FromUpstream reports whether it accepted the message. It accepts and drops
-// a message for an attempt that has ended.
+// FromUpstream handles a message from the host. Before the host's acceptance, a message is the
+// answer; afterwards it is relayed. FromUpstream reports whether it accepted the message. It
+// accepts and drops a message for an attempt that has ended.
 func (a *upstreamRequest) FromUpstream(m Message) bool {
 	r := a.request
 	if r.attempt != a {
@@ -69,8 +69,8 @@
 	c.reassignConnection(r) // the host may have changed pools in the meantime
 }
 
-// notifyEstablished notifies the balancer that the host has accepted the request. The balancer learns of
-// an adopted one, whose connection was open before this proxy's start, only now.
+// notifyEstablished notifies the balancer that the host has accepted the request. The balancer
+// learns of an adopted one, whose connection was open before this proxy's start, only now.
 func (a *upstreamRequest) notifyEstablished() {
 	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
@@ -88,9 +88,9 @@
 }
 
 // relay relays a host's message on an open connection to the client, and records the message's load
-// report, load figure or kind.
-// It reports whether the client's connection accepted the message. A message other than Finished,
-// MigrateClient and LoadReported answers the client's oldest unanswered line.
+// report, load figure or kind. It reports whether the client's connection accepted the message. A
+// message other than Finished, MigrateClient and LoadReported answers the client's oldest
+// unanswered line.
 func (a *upstreamRequest) relay(m Message) bool {
 	r, c := a.request, a.request.core
 	if !r.downstream.Relay(m) {
--- a/internal/dataplane/upstreamtls/dialer.go
+++ b/internal/dataplane/upstreamtls/dialer.go
@@ -37,8 +37,8 @@
 	reloads      chan reload // read by watch
 }
 
-// counts counts the handshakes since logCounts last logged them, and the time that this
-// side spent computing in them.
+// counts counts the handshakes since logCounts last logged them, and the time that this side spent
+// computing in them.
 type counts struct {
 	full, resumed    int // handshakes that succeeded, without and with a resumed session
 	totalComputeTime time.Duration
