--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -5,7 +5,7 @@
 // Candidate is a process that could own jobs, as known to the coordinator.
 type Candidate struct {
 	Name        string                // member name
-	Incarnation uint64                // of the process
+	Incarnation uint64                // start time of the process, which distinguishes it from others of the name
 	Eligible    bool                  // not leaving, its lease has not ended, and its replica's store can be used
 	UnheardBy   int                   // number of members that have not left and do not hear it; lower is better
 	EligibleFor Time                  // how long it has been eligible without interruption
@@ -14,17 +14,17 @@
 
 // Assignment is a decision to assign a job to a process.
 type Assignment struct {
-	Job, Member string // names
+	Job, Member string // names; Member is the new owner
 	Incarnation uint64 // of the member's process
-	Handover    bool   // the present owner must release the job first
+	Handover    bool   // whether the present owner must release the job first; false for a job without an owner
 	Reason      string // text, stored with the grant
 }
 
-// A job is handed over only some time after its owner last changed, and only to a candidate that
-// has been eligible for as long: an unstable link must not move jobs back and forth.
+// Minimum time from a job's last change of owner to its handover. The new owner must have been
+// eligible for the same time, so that an unstable link does not move jobs back and forth.
 const (
-	minHandoverInterval  = 5 * sec  // since the last change, before a job leaves an owner that is not eligible or not heard by some members
-	minRebalanceInterval = 10 * sec // since the last change, before a job moves to balance the load
+	minHandoverInterval  = 5 * sec  // for a handover from an owner that is not eligible or that some members do not hear
+	minRebalanceInterval = 10 * sec // for a handover that balances the load
 )
 
 // rendezvousScore returns the score of a process for a job by rendezvous hashing. Every coordinator
@@ -46,8 +46,8 @@
 	now        Time
 	changedAt  func(job string) Time
 	candidates []Candidate
-	byName     map[string]*Candidate
-	load       map[string]int // number of jobs by process name
+	byName     map[string]*Candidate // by member name
+	load       map[string]int        // number of jobs by member name
 }
 
 // Assign assigns each free job to a candidate and requests at most one handover. free holds the jobs
@@ -132,7 +132,8 @@
 }
 
 // rebalance returns a handover of the first job whose owner has at least two jobs more than the best
-// other candidate, provided that the candidate's UnheardBy is not higher than the owner's.
+// other candidate, provided that the candidate's UnheardBy is not higher than the owner's. With a
+// difference of one, the handover would only exchange the loads of the two.
 func (a *assigner) rebalance(owned []JobRecord) (Assignment, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
@@ -147,6 +148,7 @@
 	return Assignment{}, false
 }
 
+// handoverTo returns the assignment that hands a job over to a candidate, with text as the reason.
 func handoverTo(job string, to *Candidate, text string) Assignment {
 	return Assignment{Job: job, Member: to.Name, Incarnation: to.Incarnation, Handover: true, Reason: text}
 }
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// grantDelay is the time before the first grant of an epoch. Sessions start one after the other, so
-	// without it the first process would get all jobs.
+	// grantDelay is the time from the start of an epoch, the period in which one coordinator leads, to
+	// its first grant. Processes request their first leases one after the other, so without the delay
+	// the first process would get all jobs.
 	grantDelay = 200 * ms
 	// newFleetGrantDelayDivisor divides the lease to yield the delay that replaces grantDelay if the
 	// table is empty: then the fleet starts for the first time, and its processes one after the other.
@@ -17,9 +18,11 @@
 	// operators request do not wait.
 	handoverInterval = sec
 
-	minBackoff          = sec
-	maxBackoff          = 60 * sec
-	maxBackoffDoublings = 6 // enough to reach maxBackoff
+	// The first and the longest delay before a job that failed is granted again.
+	minBackoff = sec
+	maxBackoff = 60 * sec
+
+	maxBackoffDoublings = 6 // 2^6 times minBackoff exceeds maxBackoff; more could overflow
 )
 
 // jobFailures counts the recent failures of one job.
@@ -52,8 +55,8 @@
 
 // handovers holds the assignments whose job the present owner must release first.
 type handovers struct {
-	byJob           map[string]Assignment
-	lastRequestedAt Time // when Assign last requested a handover
+	byJob           map[string]Assignment // by job name
+	lastRequestedAt Time                  // when Assign last requested a handover
 }
 
 // requested reports whether a job's owner must release it for a handover.
@@ -113,11 +116,12 @@
 // candidateSet holds the processes that may own jobs, and the jobs that at least one of them offers.
 type candidateSet struct {
 	list    []Candidate
-	offered map[string]bool // by job
+	offered map[string]bool // by job name
 }
 
-// expireSessions deletes the sessions whose lease must have ended at the process (latestLeaseEnd).
-// The jobs of these processes may then be granted to others.
+// expireSessions deletes the sessions, the records of processes that requested leases, whose lease
+// must have ended at the process (latestLeaseEnd). The jobs of these processes may then be granted to
+// others.
 func (c *coordinator) expireSessions() {
 	for _, s := range c.sessions.sorted() {
 		if c.now >= c.latestLeaseEnd(s.renewedAt) {
@@ -127,7 +131,8 @@
 	}
 }
 
-// candidates returns the processes that offer jobs and have renewed their lease recently.
+// candidates returns the processes that offer jobs and have renewed their lease recently. Of several
+// processes of one name, only the latest counts.
 func (c *coordinator) candidates() candidateSet {
 	set := candidateSet{offered: map[string]bool{}}
 	for _, s := range c.sessions.sorted() {
@@ -195,7 +200,8 @@
 }
 
 // ownerMayBeAlive reports whether the owner of a job may still act. Lease: an owner counts as lost
-// only once its lease must have ended, including a lease that an earlier coordinator granted.
+// only once its lease must have ended. A lease that an earlier coordinator granted has ended once this
+// epoch has lasted longer than a lease.
 func (c *coordinator) ownerMayBeAlive(row *JobRecord) bool {
 	return c.sessions[processID{row.Owner, row.Incarnation}] != nil || c.now < c.latestLeaseEnd(c.epochStartedAt)
 }
@@ -214,7 +220,8 @@
 	return a
 }
 
-// beginHandover asks the owner, through its job list, to release a job.
+// beginHandover marks a job to be handed over, and makes sendJobLists send its owner the list that asks
+// for its release.
 func (c *coordinator) beginHandover(a Assignment) {
 	c.handovers.byJob[a.Job] = a
 	row := c.table.Job(a.Job)
@@ -226,8 +233,8 @@
 	}
 }
 
-// grant proposes to assign a job under its next token. The token is above all earlier ones, including
-// those of earlier epochs that the table may have lost.
+// grant proposes to assign a job under its next token. Fencing: the token is above all earlier ones.
+// The epoch in its high bits raises it above tokens of earlier epochs that the table may have lost.
 func (c *coordinator) grant(a Assignment) {
 	token := max(c.table.Job(a.Job).Token+1, c.epoch<<tokensPerEpochBits)
 	cmd := grantCommand{job: a.Job, token: token, changedAt: c.cfg.WallClock(), owner: a.Member, incarnation: a.Incarnation, reason: a.Reason}
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -26,8 +26,8 @@
 // grantCommand assigns a job to a process under a new token.
 type grantCommand struct {
 	job         string
-	token       uint64
-	changedAt   int64 // wall clock, Unix milliseconds
+	token       uint64 // fencing token of the grant
+	changedAt   int64  // wall clock, Unix milliseconds
 	owner       string
 	incarnation uint64 // of the owner's process
 	reason      string
@@ -36,18 +36,18 @@
 // releaseCommand clears a job's owner and stores the owner's last checkpoint.
 type releaseCommand struct {
 	job              string
-	token            uint64
-	changedAt        int64 // wall clock, Unix milliseconds
+	token            uint64 // under which the owner had the job
+	changedAt        int64  // wall clock, Unix milliseconds
 	checkpointNumber uint64
 	checkpoint       []byte
 	reason           string
 }
 
-// checkpointCommand stores a checkpoint of the present owner.
+// checkpointCommand stores a checkpoint, the state from which the next owner of a job continues.
 type checkpointCommand struct {
 	job              string
-	token            uint64
-	checkpointNumber uint64
+	token            uint64 // under which the owner has the job
+	checkpointNumber uint64 // must be above that of the stored one
 	checkpoint       []byte
 }
 
@@ -57,7 +57,8 @@
 	token uint64
 }
 
-// confirmCommand clears the mark that Table.MarkUncertain set.
+// confirmCommand makes the table certain again: it clears the mark, set by Table.MarkUncertain, that
+// committed commands may be missing.
 type confirmCommand struct{}
 
 // commandHeader returns a Writer that holds the fields with which every command begins: kind, job,
@@ -115,7 +116,7 @@
 	return cmd, nil
 }
 
-// apply rejects a job without a name or already in the table, and any job once the table holds
+// apply rejects a job that has no name or is already in the table, and any job once the table holds
 // MaxJobs.
 func (c registerCommand) apply(t *Table) bool {
 	if c.job == "" || t.rows[c.job] != nil || len(t.names) >= MaxJobs {
@@ -125,8 +126,8 @@
 	return true
 }
 
-// apply accepts only a token above the job's last one. Fencing: this makes everything stale that an
-// earlier owner sends from now on.
+// apply accepts only a token above the job's last one. Fencing: receivers that have accepted an effect
+// under the new token reject those of earlier owners.
 func (c grantCommand) apply(t *Table) bool {
 	row := t.rows[c.job]
 	if row == nil || c.token <= row.Token {
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -11,16 +11,17 @@
 	// listRepeatInterval is the time until a list is sent again to a process that seems not to have
 	// received it.
 	listRepeatInterval = 200 * ms
-	// listSettleTime is the time after sending a list during which the release of a job that is not on
-	// it does not yet show that the list was lost.
+	// listSettleTime is how long a list may be on its way. A process that releases a job which the list
+	// omits has not received it only if the list was sent longer ago.
 	listSettleTime = 50 * ms
 )
 
-// coordinator is the role of the process that leads the group: it grants leases and assigns jobs. It
-// leads in one epoch at a time. What it learned in one is dropped at the start of the next.
+// coordinator is the role of the process that leads the group of voters: it grants leases and assigns
+// jobs. An epoch is the period for which it leads, with a number above those of earlier coordinators.
+// What it learned in one epoch is dropped at the start of the next.
 type coordinator struct {
 	*environment
-	unheardBy map[string]int // number of members that have not left and do not hear a member, by the member's name
+	unheardBy map[string]int // number of members that do not hear a member and have not left, by that member's name
 
 	epoch             uint64 // 0 if this process does not lead
 	epochStartedAt    Time
@@ -30,8 +31,8 @@
 	confirmation      leadershipConfirmation
 	backoff           failureBackoff
 	handovers         handovers
-	changedAt         map[string]Time // when this process last saw a job's owner change; initially the start of the epoch
-	listSequence      uint64          // of the last job list sent in the epoch
+	changedAt         map[string]Time // when this process last saw a job's owner change, by job name; initially the start of the epoch
+	listSequence      uint64          // number of the last job list sent in the epoch; 0 if none was
 	reviewedAt        Time            // last review of all jobs
 }
 
@@ -41,10 +42,11 @@
 	return c
 }
 
+// leads reports whether this process leads in an epoch, as of the last tick.
 func (c *coordinator) leads() bool { return c.epoch != 0 }
 
-// dropEpochState drops everything learned in an epoch, except the last tag and the times of the last
-// confirmation, review and handover.
+// dropEpochState drops everything learned in an epoch. It keeps the last tag of a proposal and the
+// times of the last confirmation, review and handover.
 func (c *coordinator) dropEpochState() {
 	c.listSequence = 0
 	c.sessions = sessions{}
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -7,13 +7,13 @@
 	"croftlock/internal/fleet/group"
 )
 
-// Config configures a Core.
+// Config configures a Core. The group is the set of voters that replicates the table of jobs.
 type Config struct {
 	Name        string         // member name
-	Incarnation uint64         // of the process, above 0; the owner agent passes its start time in Unix milliseconds
-	Voters      []string       // names of the members that may lead the group
+	Incarnation uint64         // of the process, 1 or more; the owner agent passes its start time in Unix milliseconds
+	Voters      []string       // names of the members that replicate the table and may lead their group
 	Jobs        []string       // jobs that this process can own
-	Lease       Time           // how long an owner continues without the coordinator; default 2 s if not above 0
+	Lease       Time           // how long an owner continues without the coordinator; zero or less means 2 s
 	WallClock   func() int64   // returns the wall clock in Unix milliseconds; if nil, it is always 0
 	Faults      FaultInjection // set only by simulations and experiments
 }
@@ -34,7 +34,7 @@
 // validate returns an error that wraps ErrInvalidConfig if a field is out of its bounds.
 func (cfg Config) validate() error {
 	if cfg.Name == "" || len(cfg.Name) > maxNameBytes || cfg.Incarnation == 0 || len(cfg.Voters) == 0 || len(cfg.Jobs) > MaxJobs {
-		return fmt.Errorf("%w: name %q, expected 1 to %d bytes; incarnation %d, expected above 0; %d voters, expected 1 or more; %d jobs, expected at most %d",
+		return fmt.Errorf("%w: name %q, expected 1 to %d bytes; incarnation %d, expected 1 or more; %d voters, expected 1 or more; %d jobs, expected at most %d",
 			ErrInvalidConfig, cfg.Name, maxNameBytes, cfg.Incarnation, len(cfg.Voters), len(cfg.Jobs), MaxJobs)
 	}
 	return nil
@@ -45,13 +45,14 @@
 type Effects interface {
 	// Send sends a message to another process.
 	Send(peer uint32, msg []byte)
-	// Start starts a job under a token, from the last checkpoint. If it returns an error, the job is
-	// released.
+	// Start starts a job under the token of its grant, from the last checkpoint. checkpointNumber is 0
+	// if there is none. If Start returns an error, the job is released.
 	Start(job string, token, checkpointNumber uint64, checkpoint []byte) error
 	// Stop stops a job before it returns. It returns the checkpoint for the next owner, with a
 	// number above that of the last one stored.
 	Stop(job string, token uint64, reason ReleaseReason) (checkpointNumber uint64, checkpoint []byte)
-	// ApplyEffect applies an effect that the fence has accepted.
+	// ApplyEffect applies an effect, a message by which the owner of a job changes this process. The
+	// fence has accepted it.
 	ApplyEffect(job string, token FencingToken, body []byte)
 	// EffectAcknowledged reports a receiver's verdict to the owner of the job. peer is the receiver,
 	// and highest the token of the latest effect of the job that it has accepted.
@@ -121,10 +122,11 @@
 	return &Core{environment: env, fence: fence, participant: newParticipant(env), coordinator: newCoordinator(env)}, nil
 }
 
-// peerOf returns the peer number of a member.
+// peerOf returns the peer number of a member, which is derived from its name and addresses messages.
 func peerOf(name string) uint32 { return group.Peer(name) }
 
-// Tick must be called every 50 to 100 ms. It stops all jobs once the lease has ended.
+// Tick must be called every 50 to 100 ms. It stops all jobs once the lease has ended, renews the lease,
+// and lets the group and the coordinator act on the time that has passed.
 func (c *Core) Tick(now Time) {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -136,15 +138,16 @@
 	c.participant.tick()
 }
 
-// Applied must be called when the group has applied a proposed command.
+// Applied must be called when the group has applied a proposed command. tag is the one passed to
+// Group.Propose, and result what Table.Apply returned.
 func (c *Core) Applied(now Time, tag uint64, result []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.coordinator.commandApplied(tag, result)
 }
 
-// Confirmed must be called when the group has confirmed that this process still led after
-// Group.Confirm was called.
+// Confirmed must be called when the group has confirmed that this process still led after it called
+// Group.Confirm with tag.
 func (c *Core) Confirmed(now Time, tag uint64) {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -216,5 +219,5 @@
 // its lease has ended.
 func (c *Core) LeaseRemaining(now Time) Time { return max(0, c.participant.lease.end-now) }
 
-// OwnedJobs returns the tokens of the jobs that this process owns, by job.
+// OwnedJobs returns the tokens of the jobs that this process owns, by job name.
 func (c *Core) OwnedJobs() map[string]uint64 { return c.participant.ownedJobs() }
--- a/internal/fleet/ownership/decode.go
+++ b/internal/fleet/ownership/decode.go
@@ -9,11 +9,12 @@
 
 var (
 	errNoJob          = errors.New("no job name")
-	errNoIncarnation  = errors.New("incarnation 0, expected above 0")
+	errNoIncarnation  = errors.New("incarnation is zero")
 	errUnknownVerdict = errors.New("unknown verdict")
 )
 
-// decodeMessage decodes a message. Byte slices in it refer to data and are not copied.
+// decodeMessage decodes a message between Cores and validates it. See messages.go for the fields. Byte
+// slices in the message refer to data and are not copied.
 func decodeMessage(data []byte) (message, error) {
 	r := encoding.Reader{Data: data}
 	kind := messageKind(r.Uint())
@@ -56,7 +57,8 @@
 	return m, validate(m)
 }
 
-// validate rejects values that a correct sender never sends.
+// validate returns an error that wraps ErrMalformedMessage if m contains a value that a correct sender
+// never sends.
 func validate(m message) error {
 	switch m := m.(type) {
 	case leaseRequest:
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -1,7 +1,8 @@
 package ownership
 
-// FencingToken orders the effects of a job: first by the owner's token, then by the number that the
-// owner gave the effect.
+// FencingToken orders the effects of a job, which are the messages by which its owner changes other
+// processes. Token is that of the grant under which the owner has the job, and Sequence the number of
+// the effect under this grant. Token is compared first.
 type FencingToken struct{ Token, Sequence uint64 }
 
 // Before reports whether t is ordered before other.
@@ -18,12 +19,12 @@
 	Accepted Verdict = iota
 	// Duplicate means that this effect, or a later one with the same token, was accepted before.
 	Duplicate
-	// Stale means that an effect with a higher token was accepted before, or that the Fence is full
-	// and does not know the job.
+	// Stale means that the effect is rejected: one of a later grant was accepted before, or the Fence
+	// has a record of MaxJobs other jobs and none of this one.
 	Stale
 )
 
-// String returns the verdict's name.
+// String returns the verdict's name, or "unknown" for a number that is no verdict.
 func (v Verdict) String() string {
 	switch v {
 	case Accepted:
@@ -42,25 +43,25 @@
 type Fence struct {
 	Faults FaultInjection // set only by simulations and experiments
 
-	last map[string]FencingToken // of the latest accepted effect, by job
+	last map[string]FencingToken // of the latest accepted effect, by job name
 }
 
 // Check decides whether to accept an effect, and records its token if so. It also returns the token
-// of the latest accepted effect of the job. Each effect replaces the earlier ones of its job, so an
-// effect that arrives after a later one is not needed.
+// of the latest accepted effect of the job, which is the zero token if none was accepted. An effect
+// that arrives after a later one of the same grant is a Duplicate: the later one replaces it.
 func (f *Fence) Check(job string, token FencingToken) (Verdict, FencingToken) {
 	if f.last == nil {
 		f.last = map[string]FencingToken{}
 	}
 	last, known := f.last[job]
 	switch {
-	case f.Faults.ForgetTokens:
+	case f.Faults.ForgetTokens: // accept the effect without comparing its token
 	case token.Token < last.Token:
 		return Stale, last
 	case token.Token == last.Token && token.Sequence <= last.Sequence:
 		return Duplicate, last
 	case !known && len(f.last) >= MaxJobs:
-		return Stale, last // without a record of the job, a stale effect could not be rejected later
+		return Stale, last // there is no room to record the token, so a later stale effect would be accepted
 	}
 	f.last[job] = token
 	return Accepted, token
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -1,9 +1,9 @@
 package ownership
 
 // processLease is the lease under which a process owns all its jobs, with the state of the search for
-// the coordinator that grants it.
+// the coordinator that grants it. Times are those of this process.
 type processLease struct {
-	end         Time            // as this process counts it; 0 if it never had a lease
+	end         Time            // at which this process stops its jobs; 0 if it never had a lease
 	leader      uint32          // peer believed to be the coordinator; 0 if unknown
 	lastGrantAt Time            // when the last grant arrived; 0 if none has
 	requestedAt Time            // when a lease was last requested; 0 if one must be requested at once
@@ -29,7 +29,7 @@
 	l := &p.lease
 	interval := p.cfg.Lease / 4
 	if p.now-l.lastGrantAt > interval+interval/2 {
-		interval /= 2 // another process may be the coordinator by now
+		interval /= 2 // the grant is overdue: another process may be the coordinator by now
 	}
 	if p.now-l.requestedAt < interval && l.requestedAt > 0 {
 		return
@@ -88,7 +88,8 @@
 	}
 }
 
-// handleLeaderRedirect makes the next tick request a lease from the leader that a voter names.
+// handleLeaderRedirect makes the next tick request a lease from the leader that a voter names. Only a
+// redirect from the peer that was asked counts.
 func (p *participant) handleLeaderRedirect(from uint32, m leaderRedirect) {
 	if from == p.lease.leader && m.leader != 0 && m.leader != from {
 		p.lease.leader, p.lease.requestedAt = m.leader, 0
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -10,8 +10,8 @@
 	sender       processID
 	sequence     uint64 // rises with each request of the sender
 	eligible     bool   // the sender may be assigned jobs
-	epoch        uint64 // of the last job list that the sender has
-	listSequence uint64 // of that job list
+	epoch        uint64 // of the coordinator whose job list the sender accepted last
+	listSequence uint64 // number of that job list; 0 if the sender has none of this epoch
 }
 
 // leaseGranted is the coordinator's reply to a leaseRequest, once the voters have confirmed that it
@@ -19,8 +19,8 @@
 type leaseGranted struct {
 	sequence      uint64 // of the request
 	incarnation   uint64 // of the requesting process
-	epoch         uint64 // of the coordinator
-	requestsOffer bool   // the coordinator does not know which jobs the process can own
+	epoch         uint64 // in which the coordinator leads
+	requestsOffer bool   // whether the process must reply with a jobOffer: the coordinator does not know which jobs it can own
 }
 
 // leaderRedirect is the reply to a leaseRequest from a voter that does not lead.
@@ -37,7 +37,7 @@
 // jobList is the coordinator's complete list of the jobs that a process is to own.
 type jobList struct {
 	incarnation uint64 // of the process that it is for
-	epoch       uint64 // of the coordinator
+	epoch       uint64 // in which the coordinator leads; rises with each new coordinator
 	sequence    uint64 // rises within the epoch
 	jobs        []listedJob
 }
@@ -45,9 +45,9 @@
 // listedJob is a job in a jobList, with the checkpoint to start from.
 type listedJob struct {
 	job              string
-	token            uint64
-	checkpointNumber uint64
-	handover         bool // the job is to be released for another process
+	token            uint64 // of the grant
+	checkpointNumber uint64 // 0 if there is no checkpoint
+	handover         bool   // the job is to be released for another process
 	checkpoint       []byte
 }
 
@@ -58,7 +58,7 @@
 	eligible         bool // the sender may be assigned jobs
 	job              string
 	token            uint64
-	higherToken      uint64 // reported by a receiver; 0 if none was
+	higherToken      uint64 // token above the sender's own, under which a receiver has accepted an effect; 0 if none is known
 	checkpointNumber uint64
 	checkpoint       []byte
 	reason           string // text; see reasons.go
@@ -80,7 +80,7 @@
 	stored           bool
 }
 
-// effectMessage carries an effect from the owner of a job to a receiver.
+// effectMessage carries an effect, by which the owner of a job changes the receiving process.
 type effectMessage struct {
 	job   string
 	token FencingToken
@@ -92,7 +92,7 @@
 	job     string
 	token   FencingToken
 	verdict Verdict
-	highest FencingToken // the highest that the receiver has accepted
+	highest FencingToken // of the latest effect of the job that the receiver has accepted; zero if none
 }
 
 // moveRequest is an operator's request to hand a job over to a member.
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -11,23 +11,24 @@
 
 // ownedJob is a job that this process owns, or that it has released and the coordinator still lists.
 type ownedJob struct {
-	token             uint64
-	released          bool
+	token             uint64 // of the grant under which this process owns the job
+	released          bool   // stopped, and the release is reported until the coordinator's list omits the job
 	releaseText       string // reason of the release
-	higherToken       uint64 // reported by a receiver; 0 if none was
-	checkpointNumber  uint64 // of checkpoint
+	higherToken       uint64 // token above this one, under which a receiver has accepted an effect; 0 if none is known
+	checkpointNumber  uint64 // of checkpoint; 0 if there is none
 	checkpoint        []byte // for the next owner; set by the release
 	releaseReportedAt Time   // when the release was last reported to the coordinator
 }
 
-// participant is the role of a process that may own jobs.
+// participant is the role of a process that may own jobs. It holds one lease for all its jobs, which
+// the coordinator grants.
 type participant struct {
 	*environment
 	lease        processLease
 	jobs         map[string]*ownedJob // by job name; includes released jobs
-	epoch        uint64               // of the latest coordinator that sent a lease or a job list
+	epoch        uint64               // in which the latest coordinator that sent a lease or a job list leads
 	listSequence uint64               // of the last job list accepted in that epoch; 0 if none was
-	eligible     bool                 // set by Core.SetEligible
+	eligible     bool                 // whether this process may be assigned jobs; set by Core.SetEligible
 	leaving      bool                 // Core.Leave was called
 }
 
@@ -51,7 +52,7 @@
 // jobNames returns the names in p.jobs, sorted so that a run can be replayed.
 func (p *participant) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
-// ownedJobs returns the tokens of the jobs that are not released, by job.
+// ownedJobs returns the tokens of the jobs that are not released, by job name.
 func (p *participant) ownedJobs() map[string]uint64 {
 	tokens := map[string]uint64{}
 	for job, owned := range p.jobs {
@@ -80,12 +81,14 @@
 	return p.eligible && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
 }
 
+// leave releases all jobs and makes this process refuse new ones. text is the reason.
 func (p *participant) leave(text string) {
 	p.leaving = true
 	p.releaseAll(ProcessLeaving, text)
 }
 
-// releaseAll releases the jobs that are not released yet.
+// releaseAll releases the jobs that are not released yet. reason is logged, and text is stored with
+// the release.
 func (p *participant) releaseAll(reason ReleaseReason, text string) {
 	for _, job := range p.jobNames() {
 		if owned := p.jobs[job]; !owned.released {
@@ -94,6 +97,8 @@
 	}
 }
 
+// jobFailed releases a job that failed under a token. It does nothing if this process no longer owns
+// the job under that token.
 func (p *participant) jobFailed(job string, token uint64, cause string) {
 	if owned := p.jobs[job]; owned != nil && owned.token == token && !owned.released {
 		p.release(job, owned, JobFailed, failedPrefix+cause)
