--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -11,8 +11,8 @@
 	// listRepeatInterval is the time until a list is sent again to a process that seems not to have
 	// received it.
 	listRepeatInterval = 200 * ms
-	// listSettleTime is how long a list may be on its way. A process that releases a job which the list
-	// omits has not received it only if the list was sent longer ago.
+	// listSettleTime is how long a sent list may be on its way. If a process then releases a job that it
+	// no longer owns, it may not have the list yet, so the list is sent again only after this time.
 	listSettleTime = 50 * ms
 )
 
@@ -42,7 +42,7 @@
 	return c
 }
 
-// leads reports whether this process leads in an epoch, as of the last tick.
+// leads reports whether this process leads, as last determined by tick or stepDown.
 func (c *coordinator) leads() bool { return c.epoch != 0 }
 
 // dropEpochState drops everything learned in an epoch. It keeps the last tag of a proposal and the
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -10,8 +10,8 @@
 	sender       processID
 	sequence     uint64 // rises with each request of the sender
 	eligible     bool   // the sender may be assigned jobs
-	epoch        uint64 // of the coordinator whose job list the sender accepted last
-	listSequence uint64 // number of that job list; 0 if the sender has none of this epoch
+	epoch        uint64 // of the latest coordinator that sent the sender a lease or a job list
+	listSequence uint64 // of the last job list that the sender accepted in that epoch; 0 if none
 }
 
 // leaseGranted is the coordinator's reply to a leaseRequest, once the voters have confirmed that it
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -3,10 +3,11 @@
 // proposalTimeout is the time within which the group must report that a command was applied.
 const proposalTimeout = 2 * sec
 
-// proposal is a command that was proposed to the group and has not been reported as applied.
+// proposal is a command on the table of jobs that was proposed to the group of voters and has not been
+// reported as applied.
 type proposal struct {
 	job        string             // empty for commands that concern no single job
-	exclusive  bool               // the command changes the job's owner; at most one such proposal per job at a time
+	exclusive  bool               // whether the command changes the job's owner; a job has at most one such proposal at a time
 	expiresAt  Time               // when expire drops the proposal
 	checkpoint *checkpointRequest // answered once the command is applied; nil if there is none
 }
@@ -14,14 +15,14 @@
 // checkpointRequest is an owner's request to store a checkpoint.
 type checkpointRequest struct {
 	peer          uint32 // of the owner, which receives the result
-	token, number uint64 // the owner's token, and the number of the checkpoint
+	token, number uint64 // the token of the owner's grant, and the number of the checkpoint
 }
 
 // proposals holds the pending proposals by the tag with which the group reports them.
 type proposals struct {
-	lastTag      uint64 // counter of nextTag
+	lastTag      uint64 // number of tags that nextTag has returned
 	byTag        map[uint64]proposal
-	exclusiveTag map[string]uint64 // tag of a job's exclusive proposal, by job
+	exclusiveTag map[string]uint64 // tag of a job's exclusive proposal, by job name
 }
 
 func (ps *proposals) empty() bool { return len(ps.byTag) == 0 }
@@ -62,14 +63,15 @@
 	}
 }
 
-// nextTag returns the tag of the next proposal or confirmation. It contains the incarnation, since
-// the group reports the tags of all processes to each of them.
+// nextTag returns the tag of the next proposal or confirmation. The group reports the tags of all
+// processes to each of them, so the incarnation, above the low 24 bits, tells them apart.
 func (c *coordinator) nextTag() uint64 {
 	c.proposals.lastTag++
 	return c.cfg.Incarnation<<24 ^ c.proposals.lastTag
 }
 
-// propose proposes a command to the group. A command that the group rejects at once is dropped.
+// propose proposes a command to the group, and sets p.expiresAt. A command that the group rejects at
+// once is dropped.
 func (c *coordinator) propose(cmd tableCommand, p proposal) {
 	tag := c.nextTag()
 	p.expiresAt = c.now + proposalTimeout
@@ -81,8 +83,8 @@
 	}
 }
 
-// commandApplied handles the result of an applied command. It ignores unknown tags, such as those of
-// other processes.
+// commandApplied handles the result of an applied command: it answers a checkpointRequest, or assigns
+// jobs and sends the changed job lists. It ignores unknown tags, such as those of other processes.
 func (c *coordinator) commandApplied(tag uint64, result []byte) {
 	p, wasExclusive, known := c.proposals.remove(tag)
 	if !known {
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -15,7 +15,7 @@
 // It guarantees:
 //   - No two voters lead at the same time, as long as clocks drift apart by no more than
 //     clockDriftDivisor allows.
-//   - Epochs, and fencing tokens with them, rise as long as one voter of each majority keeps its
+//   - Epochs, the ballots with which leaders were elected, rise as long as one voter of each majority keeps its
 //     memory.
 //   - Committed commands survive as long as no majority loses its memory at the same time.
 //
@@ -31,7 +31,7 @@
 	now       Time   // latest time that the caller has passed in
 	startedAt Time   // time of the first Tick; -1 before it
 
-	ballotCounter uint64 // of the highest ballot seen, without its voter number
+	ballotCounter uint64 // highest ballot seen, shifted right by ballotVoterBits
 	voter         voterState
 	candidate     candidateState
 	rounds        leaseRounds
@@ -44,15 +44,15 @@
 	Group            string         // name of the group; messages of other groups are rejected
 	Name             string         // member name of this voter
 	Voters           []string       // member names, at most maxVoters, in the same order at all voters
-	Lease            Time           // length of the leader's lease; default 1.5 s if not above 0; must be the same at all voters
-	Seed             uint64         // of the random delays before elections
-	WallClockAtStart int64          // in hundredths of a second, not negative; ballots and epochs start above it
+	Lease            Time           // length of the leader's lease; zero or less means 1.5 s; must be the same at all voters
+	Seed             uint64         // seed of the random delays before elections
+	WallClockAtStart int64          // in hundredths of a second since 1970, not negative; ballots and epochs start above it, so they rise across restarts
 	Faults           FaultInjection // set only by simulations and experiments
 }
 
 const (
 	defaultQuorumLease = 1500 * ms
-	maxVoters          = 15 // every result of voterNumber fits in ballotVoterBits
+	maxVoters          = 15 // the results of voterNumber, 0 to 15, fit in ballotVoterBits
 	// ballotVoterBits is the number of low bits of a ballot that hold its voter's number, so that no two
 	// voters use the same ballot.
 	ballotVoterBits = 4
@@ -92,6 +92,7 @@
 // isMajority reports whether n voters are a majority.
 func (q *Quorum) isMajority(n int) bool { return 2*n > len(q.cfg.Voters) }
 
+// isVoter reports whether peer is the peer number of a voter.
 func (q *Quorum) isVoter(peer uint32) bool {
 	for _, name := range q.cfg.Voters {
 		if peerOf(name) == peer {
@@ -131,7 +132,8 @@
 	}
 }
 
-// Tick must be called every 50 to 100 ms.
+// Tick must be called every 50 to 100 ms. It ends the leadership with its lease, renews the lease, and
+// begins or continues an election.
 func (q *Quorum) Tick(now Time) {
 	q.now = max(q.now, now)
 	if q.startedAt < 0 {
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -1,6 +1,7 @@
 package ownership
 
-// Times relative to the length of a Quorum's lease: a divisor yields a fraction of it.
+// Times relative to the length of a Quorum's lease. A divisor divides this length. An election asks
+// the voters to promise a ballot, and then proposes the lease to them in a round.
 const (
 	// electionTimeoutDivisor yields the time after which a candidate abandons its election, so that
 	// others can be elected.
@@ -9,11 +10,11 @@
 	// of the delay before an election.
 	candidacyDelayDivisor  = 16
 	candidacySpreadDivisor = 4
-	// renewalsPerLease is the number of renewals per lease, so that several rounds may be lost before
-	// the lease ends.
+	// renewalsPerLease is the number of renewals per lease. Several in a row may be lost before the
+	// lease ends.
 	renewalsPerLease = 5
-	// incompleteAfterLeases is the number of leases to wait for voters that do not reply, since only
-	// they may have committed commands.
+	// incompleteAfterLeases is the time without a leader, in leases, after which an epoch may begin
+	// without the voters that do not reply. They may be the only ones that have some committed commands.
 	incompleteAfterLeases = 3
 	// promisesDivisor yields the time for which an election collects promises before an epoch may begin
 	// with an incomplete state.
@@ -24,9 +25,9 @@
 type candidateState struct {
 	ballot         uint64                  // of the present election; 0 if there is none
 	startedAt      Time                    // of the present election
-	promises       map[uint32]prepareReply // replies to the prepareRequest, by voter
-	stateSource    uint32                  // voter whose state the epoch begins with; 0 until it is chosen
-	stateComplete  bool                    // the chosen state contains everything that was committed
+	promises       map[uint32]prepareReply // replies to the prepareRequest, by the voter's peer
+	stateSource    uint32                  // peer of the voter whose state the epoch begins with; 0 until it is chosen
+	stateComplete  bool                    // whether the chosen state contains everything that was committed
 	nextElectionAt Time                    // no election begins here before this time
 	yieldedUntil   Time                    // no election begins here before this time, because this voter gave up the leadership
 }
@@ -35,8 +36,8 @@
 // request of the round that a majority accepted.
 type leaseRounds struct {
 	last        uint64                     // number of the last round
-	requestedAt map[uint64]Time            // by round
-	grants      map[uint64]map[uint32]bool // voters that accepted, by round
+	requestedAt map[uint64]Time            // when the lease was proposed, by round
+	grants      map[uint64]map[uint32]bool // peers of the voters that accepted, by round
 }
 
 // maxPendingRounds is the number of rounds before the last one that may still be accepted.
@@ -132,7 +133,7 @@
 }
 
 // mayBeginIncomplete reports whether an epoch may begin although no majority of voters with state
-// has promised. A majority had everything that was committed, but voters that have lost their
+// has promised. promised is the number of all voters that have promised. A majority had everything that was committed, but voters that have lost their
 // memory since do not count. So the candidate waits until all voters have promised, or for the time
 // that incompleteAfterLeases and promisesDivisor set. The epoch may lack committed commands, so
 // becomeLeader marks the machines (Table.MarkUncertain).
@@ -160,7 +161,7 @@
 func (q *Quorum) handleLeaseRejected(m leaseRejected) {
 	q.observeBallot(m.promised)
 	switch {
-	case m.epoch == 0:
+	case m.epoch == 0: // ignore it: 0 stands for no epoch and no ballot here
 	case m.epoch == q.leader.epoch && m.promised > q.leader.ballot:
 		// Another voter was a candidate while this one was cut off from the rejecting voter. A higher
 		// ballot makes the rejecting voter accept renewals again.
@@ -170,8 +171,8 @@
 	}
 }
 
-// handleLeaseAccepted counts the voters that have accepted a round. A majority elects this voter or
-// extends its lease.
+// handleLeaseAccepted counts the voters that have accepted the lease of a round. A majority elects this
+// voter or extends its lease. It ignores replies to other epochs and to rounds no longer recorded.
 func (q *Quorum) handleLeaseAccepted(from uint32, m leaseAccepted) {
 	isRenewal := m.epoch == q.leader.epoch
 	if m.epoch == 0 || m.epoch != q.candidate.ballot && !isRenewal || q.rounds.grants[m.round] == nil {
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -6,8 +6,8 @@
 type leaderState struct {
 	epoch    uint64 // the ballot with which this voter was elected; 0 if it does not lead
 	ballot   uint64 // for renewals; raised above the ballots that voters have promised since
-	leaseEnd Time
-	renewAt  Time // when to request the next renewal
+	leaseEnd Time   // when the leadership ends here unless it is renewed
+	renewAt  Time   // when to request the next renewal
 }
 
 // leads reports whether this voter was elected and has not become a follower since. Its lease may
@@ -58,8 +58,8 @@
 	q.send(to, stateTransfer{term: epoch, position: logPosition{epoch, q.log.committed}, snapshot: encodeState(q.machines)})
 }
 
-// sendEntries sends a voter the entries after a version, as many as fit in one message. resendEntries
-// repeats those that are lost.
+// sendEntries sends a voter the log entries whose version is above after, as many as fit in one message.
+// resendEntries repeats those that are lost.
 func (q *Quorum) sendEntries(to uint32, after uint64) {
 	q.send(to, appendEntries{epoch: q.leader.epoch, entries: q.log.batchAfter(after)})
 }
@@ -70,7 +70,7 @@
 		peer := peerOf(name)
 		version, known := q.log.acknowledged[peer]
 		switch {
-		case peer == q.self || known && version >= q.log.position.version:
+		case peer == q.self || known && version >= q.log.position.version: // it has all entries
 		case !known || !q.log.hasAllAfter(version):
 			q.sendState(peer)
 		default:
@@ -79,8 +79,8 @@
 	}
 }
 
-// handleAppendAcknowledged records a follower's position, and commits the entries that a majority now
-// has.
+// handleAppendAcknowledged records a follower's position in the log of this epoch, and commits the
+// entries that a majority now has.
 func (q *Quorum) handleAppendAcknowledged(from uint32, m appendAcknowledged) {
 	if m.position.epoch == q.leader.epoch && q.leads() {
 		q.log.acknowledged[from] = max(q.log.acknowledged[from], m.position.version)
@@ -103,7 +103,7 @@
 	}
 }
 
-// countVotersPast returns the number of voters that have an entry after a version.
+// countVotersPast returns the number of voters, including this one, that have the entry after version.
 func (q *Quorum) countVotersPast(version uint64) (n int) {
 	for _, name := range q.cfg.Voters {
 		if acknowledged, known := q.log.acknowledged[peerOf(name)]; known && acknowledged > version {
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// TransferLeadership gives up the leadership, and keeps this voter from being a candidate for two
-// leases.
+// TransferLeadership gives up the leadership, if this voter has it. It also keeps this voter from
+// becoming a candidate for the length of two leases.
 func (q *Quorum) TransferLeadership(now Time) {
 	q.now = max(q.now, now)
 	q.candidate.yieldedUntil = q.now + 2*q.cfg.Lease
--- a/internal/fleet/ownership/quorummessages.go
+++ b/internal/fleet/ownership/quorummessages.go
@@ -14,20 +14,22 @@
 	encode(groupName string) []byte
 }
 
-// prepareRequest asks voters to promise a ballot. It begins the first phase of an election.
+// prepareRequest asks voters to promise a ballot, the number of an election: a voter that promises it
+// accepts no lower one. It begins the first phase of the election.
 type prepareRequest struct{ ballot uint64 }
 
 // prepareReply is the reply to prepareRequest.
 type prepareReply struct {
 	ballot   uint64
-	promised bool        // false if the lease of another voter lasts
+	promised bool        // whether the voter promises the ballot; false if it granted another voter a lease that lasts
 	position logPosition // up to which the voter has applied entries
 }
 
-// leaseProposal asks voters to accept a lease for an epoch, either the first one or a renewal.
+// leaseProposal asks voters to grant the leader's lease for an epoch, either the first one or a renewal.
+// The epoch is the ballot with which the leader was elected.
 type leaseProposal struct {
 	ballot, epoch uint64 // the same in an election; a renewal may have a higher ballot
-	round         uint64 // number of the proposer's round
+	round         uint64 // rises with each proposal of the sender
 }
 
 // leaseAccepted is the reply to a leaseProposal that the voter accepts.
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -4,8 +4,8 @@
 // Quorum.abstains.
 type voterState struct {
 	promised uint64 // highest ballot promised
-	grantee  uint32 // peer to which this voter last granted a lease
-	epoch    uint64 // of that lease
+	grantee  uint32 // peer to which this voter last granted a lease; 0 if none
+	epoch    uint64 // for which that lease was granted: the ballot of its holder's election
 	grantEnd Time   // end of that lease, as this voter counts it
 }
 
@@ -15,8 +15,8 @@
 	return now >= v.grantEnd || v.grantee == candidate
 }
 
-// abstains reports whether an earlier process of this voter may have granted a lease that still
-// lasts and that this process does not know of.
+// abstains reports whether this voter must not take part yet: until a lease's length after its start,
+// an earlier process of this voter may have granted a lease that lasts and that it does not know of.
 func (q *Quorum) abstains() bool {
 	return q.startedAt < 0 || !q.cfg.Faults.SkipAbstention && q.now < q.startedAt+leaseAtGrantor(q.cfg.Lease)
 }
@@ -59,7 +59,8 @@
 	}
 }
 
-// handleStateRequest sends this voter's state to a candidate.
+// handleStateRequest sends this voter's state to a candidate, with the ballot of the candidate's
+// election.
 func (q *Quorum) handleStateRequest(from uint32, m stateRequest) {
 	q.send(from, stateTransfer{term: m.ballot, position: q.appliedPosition(), snapshot: encodeState(q.machines)})
 }
@@ -71,8 +72,8 @@
 	return from != q.self && from == q.voter.grantee && epoch == q.voter.epoch && q.now < q.voter.grantEnd
 }
 
-// handleStateTransfer restores the state that this voter requested as a candidate, or that its leader
-// sends.
+// handleStateTransfer restores the state that this voter requested as a candidate, and then proposes its
+// lease. It also restores a newer state that this voter's leader sends, and acknowledges it.
 func (q *Quorum) handleStateTransfer(from uint32, m stateTransfer) {
 	if m.term == q.candidate.ballot && q.candidate.stateSource == from && m.term != 0 {
 		if restoreState(q.machines, m.snapshot) {
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -8,11 +8,12 @@
 const (
 	// maxUncommitted is the maximum number of entries that wait for a majority.
 	maxUncommitted = 64
-	// maxBatchBytes bounds the entries of a message, unless it contains a single entry.
+	// maxBatchBytes bounds the size of the entries in a message. A single entry may be larger.
 	maxBatchBytes = 4096
 )
 
-// logPosition is a position in the order of all commands. version is the number of entries in the
+// logPosition is a position in the order of all commands. epoch is that of the leader, the ballot with
+// which it was elected. version is the number of entries in the
 // epoch's log up to this position, and 0 for the state with which the epoch began. It is not
 // Table.Version.
 type logPosition struct{ epoch, version uint64 }
@@ -47,13 +48,13 @@
 type replicatedLog struct {
 	position  logPosition // of the last entry here; a follower has applied it, a leader only what is committed
 	committed uint64      // at a leader, the version up to which a majority has all entries
-	entries   []logEntry  // at a leader, the last entries, up to maxUncommitted
-	// acknowledged is, at a leader, the version up to which each voter has all entries. It contains only
-	// the voters that have the state of the epoch.
+	entries   []logEntry  // at a leader, the last entries, at most maxUncommitted, some of them committed
+	// acknowledged is, at a leader, the version up to which each voter has all entries, by the voter's
+	// peer. It contains only the voters that have the state with which the epoch began.
 	acknowledged map[uint32]uint64
 }
 
-// reset starts an epoch at its leader.
+// reset starts an epoch at its leader, whose peer number is self, with an empty log.
 func (l *replicatedLog) reset(epoch uint64, self uint32) {
 	l.position = logPosition{epoch, 0}
 	l.committed, l.entries, l.acknowledged = 0, nil, map[uint32]uint64{self: 0}
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// StoreCheckpoint asks the coordinator to store a checkpoint of a job. Effects.CheckpointStored
+// StoreCheckpoint asks the coordinator to store a checkpoint of a job, the state from which the next
+// owner continues. It returns ErrCheckpointTooLarge or ErrNotOwner, wrapped, without asking it. Effects.CheckpointStored
 // reports the result. If no report arrives, the checkpoint may or may not have been stored.
 func (c *Core) StoreCheckpoint(now Time, job string, token, checkpointNumber uint64, checkpoint []byte) error {
 	c.advance(now)
@@ -17,8 +18,8 @@
 	return nil
 }
 
-// SendEffect sends an effect of a job to a receiver, which may be this process. Lease: the caller
-// must have called IsOwner just before.
+// SendEffect sends an effect, a message by which a job's owner changes its receiver. The receiver may
+// be this process. Lease: the caller must have called IsOwner just before.
 func (c *Core) SendEffect(now Time, to uint32, job string, token FencingToken, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -47,7 +48,7 @@
 }
 
 // MoveJob asks the coordinator to hand a job over to a member. Effects.ReplyReceived reports, with
-// the same tag, why the request is refused; the text is empty if it is accepted.
+// the same tag, why the request is refused; the text is empty if it is accepted. to is a member name.
 func (c *Core) MoveJob(now Time, job, to string, tag uint64) {
 	c.advance(now)
 	defer c.deliverToSelf()
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -2,18 +2,19 @@
 
 import "sort"
 
-// session is what the coordinator knows about a process in the present epoch.
+// session is what the coordinator knows about a process that has requested a lease in the present epoch,
+// the period for which this coordinator leads.
 type session struct {
 	processID
 	startedAt       Time            // arrival of the first lease request in the epoch
 	renewedAt       Time            // arrival of the request for the last granted lease; initially startedAt
-	eligible        bool            // as reported by the last lease request or release
+	eligible        bool            // whether the process may be assigned jobs, as reported by the last lease request or release
 	eligibleSince   Time            // start of the present uninterrupted time as eligible
-	offers          map[string]bool // jobs that the process can own; nil if not known yet
+	offers          map[string]bool // jobs that the process can own, by name; nil if not known yet
 	listSentVersion uint64          // Table.Version plus one when the last job list was sent; 0 if a list must be sent at once
 	listSentAt      Time            // when the last job list was sent
 	listSequence    uint64          // of the last job list sent
-	lacksList       bool            // the last lease request shows that the process does not have that list
+	lacksList       bool            // whether the process did not have that list when it sent its last lease request
 }
 
 // sessions holds the processes that have requested a lease in the present epoch.
@@ -50,7 +51,8 @@
 	return last
 }
 
-// handleLeaseRequest queues the request until the voters have confirmed that this process leads. A
+// handleLeaseRequest records the sender's session and queues the request until the voters have confirmed
+// that this process leads. A
 // voter that does not lead redirects the sender to the leader.
 func (c *coordinator) handleLeaseRequest(from uint32, m leaseRequest) {
 	if !c.leads() {
@@ -95,7 +97,7 @@
 // round serves all lease requests received before it, so that the cost does not grow with the fleet.
 type leadershipConfirmation struct {
 	waiting     []leaseClaim            // claims for the next round
-	byTag       map[uint64][]leaseClaim // claims of the rounds in progress; none is empty
+	byTag       map[uint64][]leaseClaim // claims of the rounds in progress, by the tag passed to Group.Confirm; no list is empty
 	requestedAt Time                    // start of the last round
 }
 
@@ -130,7 +132,8 @@
 	}
 }
 
-// leadershipConfirmed grants the leases that were claimed before the round with the given tag.
+// leadershipConfirmed grants the leases that were claimed before the round with the given tag, and sends
+// each of their holders its job list.
 func (c *coordinator) leadershipConfirmed(tag uint64) {
 	claims := c.confirmation.byTag[tag]
 	delete(c.confirmation.byTag, tag)
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -17,16 +17,16 @@
 // grantID identifies a grant of a job.
 type grantID struct {
 	job   string // name
-	token uint64
+	token uint64 // fencing token of the grant
 }
 
 // checks records what the checks need to know of a run, and the violations found.
 type checks struct {
 	violations   []string
 	ownerOf      map[grantID]string // name and incarnation of the process that started the job
-	highestToken map[string]uint64  // highest token under which a job was started, by job
-	stored       map[string]uint64  // highest checkpoint number reported as stored, by job
-	lastOwnedAt  map[string]Time    // last time at which a job had an owner, by job
+	highestToken map[string]uint64  // highest token under which a job was started, by job name
+	stored       map[string]uint64  // highest checkpoint number reported as stored, by job name
+	lastOwnedAt  map[string]Time    // last time at which a job had an owner, by job name
 }
 
 func newChecks() *checks {
@@ -36,7 +36,7 @@
 // passed reports whether no violation was found.
 func (c *checks) passed() bool { return len(c.violations) == 0 }
 
-// reportViolation records a violation, up to maxViolations of them.
+// reportViolation records a violation with its time. It ignores those after the first maxViolations.
 func (r *Run) reportViolation(format string, args ...any) {
 	if len(r.checks.violations) < maxViolations {
 		r.checks.violations = append(r.checks.violations, fmt.Sprintf("at %d ms: ", r.now/Ms)+fmt.Sprintf(format, args...))
@@ -102,8 +102,8 @@
 	return ok && r.localTime(p) < p.group.(*ownership.Quorum).LeaseEnd()
 }
 
-// recordGaps records the periods in which a job had no owner, as they end. owners holds the names of
-// the present owners, by job.
+// recordGaps records the periods longer than a step in which a job had no owner, when they end. owners
+// holds the names of the present owners, by job name.
 func (r *Run) recordGaps(owners map[string]string) {
 	for i := range r.cfg.Jobs {
 		name := jobName(i)
@@ -117,8 +117,8 @@
 	}
 }
 
-// checkSettled checks what must hold at the end of a run: each job has an owner. It checks nothing
-// if no majority of the voters with disks takes part, since only operators can repair that.
+// checkSettled checks what must hold at the end of a run: each job has had an owner within the last
+// maxFinalOwnerGap. It checks nothing if no majority of the voters with disks takes part, since only operators can repair that.
 func (r *Run) checkSettled() {
 	if r.cfg.Disks && 2*(r.cfg.Voters-r.lostVoters()) <= r.cfg.Voters {
 		return
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -9,7 +9,8 @@
 // the plan. Trace does nothing by default; set it to debug a run.
 var Trace = func(now Time, name, event string, args []any) {}
 
-// groupEffects implements the effects of a voter on its process.
+// groupEffects implements, for a simulated process, the effects of its replicated group: the messages
+// that the group sends, and its reports to the Core.
 type groupEffects struct {
 	run     *Run
 	process *process
@@ -86,7 +87,8 @@
 	return j.sequence, checkpointOf(j.sequence)
 }
 
-// ApplyEffect checks that the effects that the fence accepts are in order.
+// ApplyEffect checks that the effects of a job, the messages from its owner, are in order once the fence
+// has accepted them, and counts them.
 func (c coreEffects) ApplyEffect(name string, token ownership.FencingToken, _ []byte) {
 	if token.Before(c.process.accepted[name]) {
 		c.run.reportViolation("%s accepts effect %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -7,8 +7,8 @@
 // diskLossThreshold is the Fault.Amount above which a killed process loses its disk.
 const diskLossThreshold = 0.35
 
-// clockStep returns the step of the wall clock for a Fault.Amount: at most an hour forwards or
-// backwards.
+// clockStep returns the step of the wall clock for a Fault.Amount. An amount of maxAmount/2 means no
+// step, and 0 and maxAmount an hour backwards and forwards.
 func clockStep(amount float64) Time { return Time((amount - maxAmount/2) * 5 * 3600 * float64(Sec)) }
 
 // beginFault applies a fault.
@@ -73,8 +73,9 @@
 	}
 }
 
-// pause pauses a process right after its jobs have checked their lease. When it continues, it sends
-// the effects for which it checked: only fencing protects against these.
+// pause pauses a process for d, right after its jobs have checked their lease. When the process continues,
+// it sends the effects for which they checked, although the lease may have ended: only fencing protects
+// against these.
 func (r *Run) pause(p *process, d Time) {
 	if !r.awake(p) {
 		return
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -12,7 +12,7 @@
 const (
 	minDelay           = Ms
 	delaySpread        = 4 * Ms
-	lateMessageDivisor = 5 // one in this many is delayed by a random time below extraDelaySpread more
+	lateMessageDivisor = 5 // one message in this many has an additional random delay below extraDelaySpread
 	extraDelaySpread   = 300 * Ms
 	duplicateCopies    = 2
 )
@@ -28,7 +28,7 @@
 
 // network holds the links between processes and the messages in flight.
 type network struct {
-	peers        map[uint32]int // index of a process by its peer number
+	peers        map[uint32]int // index of each process, by its peer number
 	inFlight     []envelope
 	sequence     int     // of the last envelope
 	cuts         [][]int // number of faults that cut the link, by the indexes of its sender and receiver
@@ -44,7 +44,8 @@
 	return n
 }
 
-// send adds a message to those in flight, unless the link is cut or loses it.
+// send adds a message from p to those in flight, unless the link is cut or loses the message. group
+// reports whether the message is between voters of the group and not between Cores.
 func (r *Run) send(p *process, peer uint32, group bool, message []byte) {
 	n := r.network
 	to, known := n.peers[peer]
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -25,22 +25,22 @@
 // FaultKind is the kind of a Fault.
 type FaultKind string
 
-// Kinds of faults. In the comments, "it" is Fault.Process.
+// Kinds of faults. In the comments, the process is Fault.Process.
 const (
-	faultPause     FaultKind = "pause"      // it is paused
-	faultKill      FaultKind = "kill"       // it is killed, sometimes with the loss of its disk
+	faultPause     FaultKind = "pause"      // the process is paused
+	faultKill      FaultKind = "kill"       // the process is killed, sometimes with the loss of its disk
 	faultAllKilled FaultKind = "all-killed" // all processes are killed
-	faultCut       FaultKind = "cut"        // all its links are cut
-	faultOneWay    FaultKind = "one-way"    // its link to OtherProcess is cut in this direction
-	faultDeaf      FaultKind = "deaf"       // it receives nothing
-	faultMute      FaultKind = "mute"       // none of its messages arrive
+	faultCut       FaultKind = "cut"        // all links of the process are cut
+	faultOneWay    FaultKind = "one-way"    // the link from the process to OtherProcess is cut
+	faultDeaf      FaultKind = "deaf"       // the process receives nothing
+	faultMute      FaultKind = "mute"       // none of the process's messages arrive
 	faultHalves    FaultKind = "halves"     // the fleet is split in two, after the lower of Process and OtherProcess
 	faultLoss      FaultKind = "loss"       // messages of all processes are lost, duplicated and delayed
-	faultHeldBack  FaultKind = "held-back"  // its messages arrive only after the fault has ended
-	faultFull      FaultKind = "full"       // its disk is full
-	faultCopyBack  FaultKind = "copy-back"  // its disk is copied, and replaced with the copy when the fault ends
-	faultClock     FaultKind = "clock"      // its wall clock is stepped
-	faultLeave     FaultKind = "leave"      // it shuts down gracefully, and starts again when the fault ends
+	faultHeldBack  FaultKind = "held-back"  // the process's messages arrive only after the fault has ended
+	faultFull      FaultKind = "full"       // the process's disk is full
+	faultCopyBack  FaultKind = "copy-back"  // the process's disk is copied, and replaced with the copy when the fault ends
+	faultClock     FaultKind = "clock"      // the process's wall clock is stepped
+	faultLeave     FaultKind = "leave"      // the process shuts down gracefully, and starts again when the fault ends
 )
 
 // FaultKinds lists the kinds that a plan may contain. Plan chooses kinds by their index, so the
@@ -50,8 +50,8 @@
 const (
 	maxFaults           = 6 // in a plan
 	minFaultDuration    = 100 * Ms
-	faultDurationSpread = 8 * Sec
-	maxAmount           = 0.4
+	faultDurationSpread = 8 * Sec // bound of the random time that is added to minFaultDuration
+	maxAmount           = 0.4     // upper bound of Fault.Amount
 	// One in longFaultDivisor faults lasts longFaultFactor times as long as it otherwise would.
 	longFaultDivisor = 6
 	longFaultFactor  = 4
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -17,7 +17,7 @@
 	// State that lasts across incarnations.
 	disk       *consensus.MemoryStore // unused if the fleet has no disks
 	diskCopy   *consensus.StoredState // to be restored when faultCopyBack ends; nil if there is none
-	clockRate  float64                // rate of the monotonic clock relative to virtual time
+	clockRate  float64                // rate of the monotonic clock relative to virtual time, 0.99 to 1.01
 	wallOffset Time                   // of the wall clock from virtual time
 
 	// State of the present incarnation.
@@ -41,13 +41,13 @@
 
 // job is a job that a process runs, from Start to Stop.
 type job struct {
-	token, sequence uint64 // sequence numbers both effects and checkpoints
+	token, sequence uint64 // token of the grant, and number of the last effect, which is also that of its checkpoint
 	nextStepAt      Time   // by the process's monotonic clock
 }
 
 const (
 	jobStepInterval      = 100 * Ms
-	checkpointEvery      = 3 // steps of a job between two checkpoints
+	checkpointEvery      = 3 // one in this many effects of a job stores a checkpoint
 	maxQueuedWhilePaused = 64
 )
 
@@ -86,8 +86,10 @@
 	p.nextTickAt = r.now + r.rng.Int64N(tickInterval)
 }
 
+// jobName returns the name of the job with an index.
 func jobName(i int) string { return fmt.Sprintf("job%d", i) }
 
+// voterNames returns the names of the voters, which are the first processes.
 func (r *Run) voterNames() (names []string) {
 	for i := range r.cfg.Voters {
 		names = append(names, r.processes[i].name)
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -36,11 +36,11 @@
 
 // Config configures a run.
 type Config struct {
-	Processes, Voters, Jobs int  // numbers of each; the first processes are the voters
-	Disks                   bool // voters keep their state on disk (package consensus); otherwise in memory (ownership.Quorum)
-	Seed                    uint64
-	FaultPeriod             Time // the time from the start in which faults begin; default 30 s if not above 0
-	NoFaults                bool // do not plan any faults
+	Processes, Voters, Jobs int    // numbers of each; the first processes are the voters
+	Disks                   bool   // voters keep their state on disk (package consensus); otherwise in memory (ownership.Quorum)
+	Seed                    uint64 // determines the whole run
+	FaultPeriod             Time   // the time from the start in which faults begin; zero or less means 30 s
+	NoFaults                bool   // do not plan any faults
 	// ProgramFaults are injected into the program. The checks must detect them.
 	ProgramFaults ownership.FaultInjection
 	// SkipSync makes disks lose data in a crash that they have acknowledged as synced. The checks must
@@ -81,7 +81,7 @@
 	onSend func(from int, peer uint32, group bool, message []byte)
 }
 
-// New creates a fleet, plans its faults and starts its processes.
+// New returns a run of a new fleet. It plans the fleet's faults and starts its processes.
 func New(c Config) *Run {
 	if c.FaultPeriod <= 0 {
 		c.FaultPeriod = defaultFaultPeriod
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -20,7 +20,8 @@
 	return c.step(from, m)
 }
 
-// deliverToSelf handles the messages that this process has sent to itself. Every exported method
+// deliverToSelf handles the messages that this process has sent to itself, and those that it sends
+// to itself meanwhile. Every exported method
 // that may send such a message calls it when it returns.
 func (c *Core) deliverToSelf() {
 	if c.delivering {
@@ -35,7 +36,8 @@
 	c.delivering = false
 }
 
-// step passes a message to the role that handles it.
+// step passes a message to the role, coordinator, participant or receiver, that handles it. It returns
+// ErrSenderMismatch, wrapped, if the message names a sender other than from.
 func (c *Core) step(from uint32, m message) error {
 	if sender, named := senderOf(m); named && peerOf(sender.name) != from {
 		return fmt.Errorf("%w: %q from peer %08x", ErrSenderMismatch, sender.name, from)
@@ -86,8 +88,8 @@
 	return processID{}, false
 }
 
-// handleEffect handles an effect at its receiver. Fencing: it applies only an effect that the fence
-// accepts.
+// handleEffect handles an effect, a message by which a job's owner changes this process, and replies
+// with the verdict. Fencing: it applies only an effect that the fence accepts.
 func (c *Core) handleEffect(from uint32, m effectMessage) {
 	verdict, highest := c.fence.Check(m.job, m.token)
 	switch verdict {
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -13,14 +13,14 @@
 // tableFormat is the version of the snapshot's encoding.
 const tableFormat = 1
 
-// tokensPerEpochBits is the number of bits by which an epoch is shifted to form a job's first token
-// in it, so that tokens rise from one epoch to the next.
+// tokensPerEpochBits is the number of bits by which an epoch, the number of a coordinator's time as
+// leader, is shifted left to form a job's first token in it. So tokens rise from one epoch to the next.
 const tokensPerEpochBits = 20
 
 // JobRecord is a row of the Table.
 type JobRecord struct {
-	Job              string
-	Token            uint64 // of the last grant, or a higher one that raiseTokenCommand has set
+	Job              string // name
+	Token            uint64 // fencing token of the last grant, or a higher one that raiseTokenCommand has set
 	Owner            string // member name; empty if the job has no owner
 	Incarnation      uint64 // of the owner's process
 	CheckpointNumber uint64 // of Checkpoint; only rises; 0 if there is none
@@ -47,9 +47,9 @@
 	// Version rises with MarkUncertain and with each accepted command other than a checkpoint.
 	Version uint64
 
-	rows      map[string]*JobRecord
-	names     []string // sorted
-	uncertain bool     // MarkUncertain was called, and no confirmCommand has been applied since
+	rows      map[string]*JobRecord // by job name
+	names     []string              // job names, sorted
+	uncertain bool                  // whether MarkUncertain was called and no confirmCommand has been applied since
 }
 
 // NewTable returns an empty Table.
@@ -134,8 +134,8 @@
 	}
 }
 
-// Restore replaces the table with a snapshot. A snapshot that is truncated or in another format
-// changes nothing.
+// Restore replaces the table with a snapshot. If the snapshot is truncated or in another format, it
+// returns an error and changes nothing.
 func (t *Table) Restore(snapshot []byte) error {
 	r := encoding.Reader{Data: snapshot}
 	if v := r.Uint(); v != tableFormat {
