--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -30,7 +30,7 @@
 	name         string // of this process
 	transport    transport
 	channels     channels
-	reportSocket net.Listener // nil if the settings specify no socket
+	reportSocket net.Listener // Unix socket at which operators read the view; nil if the settings specify none
 	closed       bool         // whether Stop was called
 }
 
@@ -43,7 +43,7 @@
 	OwnNumber  int         // number of this process on the link
 }
 
-// Start starts an Agent for the process with the given name. started is the start time of the process, from
+// Start starts an Agent for the process with the given name. o holds the section of the settings file. started is the start time of the process, from
 // which its incarnation is made. Start returns an error if the section's files or addresses cannot be used.
 func Start(loop *netio.Loop, o Options, name string, started time.Time, platform Platform) (*Agent, error) {
 	seal, err := o.seal()
@@ -130,8 +130,8 @@
 	a.loop.After(tickInterval, a.tick)
 }
 
-// ReceiveShared handles a datagram of the platform's link if it belongs to membership, and reports whether it
-// did. It may be called on a nil Agent, which handles none.
+// ReceiveShared handles a datagram of the platform's link, which other packages also use, and reports whether
+// the datagram belongs to membership. It returns false if the Agent is nil or has a link of its own.
 func (a *Agent) ReceiveShared(slot int, data []byte) bool {
 	if a == nil || !a.transport.shared || !membership.IsMembershipDatagram(data) {
 		return false
--- a/internal/fleet/memberagent/channels.go
+++ b/internal/fleet/memberagent/channels.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// channels holds the receivers of other packages' data, by channel.
+// channels holds the receivers of other packages' data, by channel: a number that tells apart the packages
+// that send data through the Agent.
 type channels map[byte]func(member uint32, data []byte)
 
 // Attach registers receive for the data that other members send on a channel, and replaces an earlier
--- a/internal/fleet/memberagent/options.go
+++ b/internal/fleet/memberagent/options.go
@@ -99,13 +99,14 @@
 	}
 }
 
-// Check reads the key files of the section. It returns an error if they cannot be used.
+// Check reads the key files of the section, and returns an error if they cannot be used.
 func (o Options) Check() error {
 	_, err := o.seal()
 	return err
 }
 
-// seal returns the seal over datagrams, or nil if they are not sealed.
+// seal reads the key files and returns the seal over datagrams. It returns nil if there are no keys or
+// membership is not enabled.
 func (o Options) seal() (*membership.Seal, error) {
 	if !o.Enabled || len(o.Keys) == 0 {
 		return nil, nil
--- a/internal/fleet/memberagent/rejection.go
+++ b/internal/fleet/memberagent/rejection.go
@@ -23,7 +23,7 @@
 	reasonUnknown          rejectionReason = "unknown"            // any other error
 )
 
-// reasonOfError holds the reasons of the errors that contain no further fields.
+// reasonOfError holds the reasons of the errors that are plain values, without fields to log.
 var reasonOfError = map[error]rejectionReason{
 	membership.ErrMalformed:    reasonMalformed,
 	membership.ErrOtherVersion: reasonOtherVersion,
@@ -37,7 +37,7 @@
 	slog.Warn("membership_datagram_rejected", append([]any{from}, rejectionFields(err)...)...)
 }
 
-// rejectionFields returns the log fields that describe err.
+// rejectionFields returns the log fields that describe err, as alternating keys and values.
 func rejectionFields(err error) []any {
 	var inUse *membership.NameInUseError
 	var rejected *membership.RejectedError
--- a/internal/fleet/memberagent/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -67,7 +67,7 @@
 	return r
 }
 
-// memberNames returns the known names of members, including this process, by ID.
+// memberNames returns the known names of members, including this process, by member ID.
 func (a *Agent) memberNames(view []membership.Member) map[uint32]string {
 	names := map[uint32]string{membership.ID(a.name): a.name}
 	for _, m := range view {
@@ -78,7 +78,8 @@
 	return names
 }
 
-// reportMember returns the entry of a member in a Report. names are the known names by ID.
+// reportMember returns the entry of a member in a Report made at now, on the event loop's clock. names holds
+// the known names by member ID.
 func reportMember(m membership.Member, now membership.Time, names map[uint32]string) ReportMember {
 	row := ReportMember{
 		ID:           formatID(m.ID),
--- a/internal/fleet/memberagent/socket.go
+++ b/internal/fleet/memberagent/socket.go
@@ -78,7 +78,8 @@
 	return l, nil
 }
 
-// RequestReport returns the report of the running proxy that listens on the Unix socket at path socket.
+// RequestReport returns the report of the running proxy that listens on a Unix socket, whose path is socket.
+// It fails if the complete report does not arrive within requestTimeout.
 func RequestReport(socket string) (Report, error) {
 	var r Report
 	c, err := net.DialTimeout("unix", filepath.Clean(socket), reportTimeout)
--- a/internal/fleet/memberagent/transport.go
+++ b/internal/fleet/memberagent/transport.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/fleet/peers"
 )
 
-// transport is the link to the other members and the seal over its datagrams.
+// transport is the link, the socket for datagrams to the other members, and the seal over its datagrams.
 type transport struct {
 	link            *peers.Link
 	shared          bool             // whether the link is the platform's, which the decision module also uses
@@ -26,7 +26,8 @@
 	return t.seal.Seal(data)
 }
 
-// unseal checks a datagram and removes its seal, if datagrams are sealed. It returns false if the seal is not
+// unseal checks the seal of a datagram, a keyed hash with a sequence number, and removes it. Without keys it
+// returns the datagram unchanged. It returns false if the seal is not
 // valid. It counts all failures but logs only the first one, as any sender can cause any number of them. from
 // is the log field for the sender.
 func (t *transport) unseal(from slog.Attr, data []byte) ([]byte, bool) {
--- a/internal/fleet/memberagent/view.go
+++ b/internal/fleet/memberagent/view.go
@@ -8,7 +8,7 @@
 	ID          uint32
 	State       string   // see membership.State.String
 	Incarnation uint64   // see membership.Incarnation
-	Unheard     []uint32 // IDs of the members that it reports as unheard
+	Unheard     []uint32 // IDs of the members from which this one reports to hear nothing
 }
 
 // View returns the other members as this process sees them, sorted by ID. ViewMember.Unheard is valid only
--- a/internal/fleet/membership/address.go
+++ b/internal/fleet/membership/address.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// maxSlots is the maximum number of slots if addresses are learnt.
+// maxSlots is the maximum number of slots, which are numbers of addresses, if addresses are learnt.
 const maxSlots = 4096
 
 // addressBook records which member is at which slot. The configuration fixes the slots; with seeds,
@@ -24,6 +24,7 @@
 // learnsAddresses reports whether addresses are learnt from datagrams instead of configured as slots.
 func (b *addressBook) learnsAddresses() bool { return len(b.addresses) > 0 }
 
+// validSlot reports whether slot is the number of a configured or learnt address.
 func (b *addressBook) validSlot(slot int) bool { return slot >= 0 && slot < len(b.memberAt) }
 
 // assign records that member m is at slot.
@@ -39,8 +40,8 @@
 	}
 }
 
-// slotFor returns the slot of address addr. For a new address it reuses the slot of an ended member or
-// adds a slot. It returns -1 if all slots are in use. added reports whether a slot was added.
+// slotFor returns the slot of address addr. For a new address it reuses the slot of a member that has left
+// or is gone, whose Slot it sets to -1, or adds a slot. It returns -1 if all slots are in use. added reports whether a slot was added.
 func (b *addressBook) slotFor(addr netip.AddrPort, table *memberTable) (slot int, added bool) {
 	if i := slices.Index(b.addresses, addr); i >= 0 {
 		return i, false
--- a/internal/fleet/membership/antientropy.go
+++ b/internal/fleet/membership/antientropy.go
@@ -1,24 +1,25 @@
 package membership
 
 const (
-	// viewRequestDelay is how long views may differ before a process requests a complete view: gossip
-	// alone removes most differences.
+	// viewRequestDelay is how long views, the states of all members as a process sees them, may differ
+	// before a process requests a complete view. Gossip alone removes most differences.
 	viewRequestDelay = sec
 	// viewRequestInterval is the minimum time between two requests for a complete view.
 	viewRequestInterval = sec
-	// viewPages is the maximum number of datagrams that answer one request for a view.
+	// viewPages is the maximum number of pages, which are datagrams with a part of the view, that answer
+	// one request for a view.
 	viewPages = 4
 )
 
-// antiEntropy repairs differences between views that gossip has missed: it compares digests and
-// determines when to request a complete view.
+// antiEntropy repairs differences between views that gossip has missed: it compares the digests of
+// views that datagrams carry, and determines when to request a complete view.
 type antiEntropy struct {
 	// differentSince is the time since which received digests differ from this process's digest. It is zero
 	// if the last received one was equal.
 	differentSince Time
-	lastRequest    Time // when a complete view was last requested
-	// nextEntry is the entry of this process's view with which the next page starts, modulo the number of
-	// entries.
+	lastRequest    Time // when a complete view was last requested; zero if never
+	// nextEntry counts the entries of this process's view that were sent. Modulo the number of entries it
+	// is the index of the one with which the next page starts.
 	nextEntry int
 }
 
@@ -53,7 +54,7 @@
 	}
 }
 
-// sendView answers a request with the next pages of this process's view, which include its own entry, until
+// sendView answers a request for a view from the member at slot with the next pages of this process's view, which include its own entry, until
 // one page holds the whole view or viewPages are sent.
 func (c *Core) sendView(slot int) {
 	for range viewPages {
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -30,7 +30,7 @@
 	// with a newer one.
 	Incarnation Incarnation
 	Slots       int // number of addresses at which members may be
-	OwnSlot     int // slot of this process; -1 if it has none
+	OwnSlot     int // slot (number of the address) of this process; -1 if it has none
 	// Seeds are the addresses of some members. If set, Slots and OwnSlot are ignored and the addresses of
 	// the other members are learnt, so that members may come and go.
 	Seeds []netip.AddrPort
@@ -76,7 +76,7 @@
 	return cfg, nil
 }
 
-// setDefault sets *value to fallback if it is not positive.
+// setDefault sets *value to fallback if it is zero or negative.
 func setDefault(value *Time, fallback Time) {
 	if *value <= 0 {
 		*value = fallback
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -28,7 +28,7 @@
 	selfID      uint32 // hash of this process's name
 	fleet       uint32 // hash of the fleet's name
 	incarnation Incarnation
-	now         Time // latest time that the caller has passed
+	now         Time // latest time that the caller has passed, on its monotonic clock
 	hasLeft     bool // whether Leave was called
 
 	members     memberTable
@@ -90,7 +90,8 @@
 func (c *Core) pauseThreshold() Time { return minPauseIntervals * c.cfg.ProbeInterval }
 
 // resumeAfterPause discounts gap, the time since the last tick, in which this process was paused: that it
-// heard nothing during a pause proves nothing about the others.
+// heard nothing meanwhile proves nothing about the others. It drops the outstanding probes, marks the
+// suspects as alive and raises this process's incarnation.
 func (c *Core) resumeAfterPause(gap Time) {
 	c.counts.Pauses++
 	c.isolation.noSuspicionBefore = c.now + noSuspicionAfterPause
@@ -113,7 +114,7 @@
 // Leave announces the graceful shutdown of this process to some alive members, whose gossip spreads it.
 // Afterwards Tick probes no more slots, and SendPayload drops its data.
 func (c *Core) Leave(now Time) {
-	const maxAnnouncements = 4 * maxIndirectProbes
+	const maxAnnouncements = 4 * maxIndirectProbes // maximum number of datagrams; gossip reaches the rest
 	c.now = max(c.now, now)
 	c.hasLeft = true
 	c.spread(c.selfID)
--- a/internal/fleet/membership/decode.go
+++ b/internal/fleet/membership/decode.go
@@ -43,7 +43,8 @@
 
 func (p part) kind() partKind { return partKind(p[0]) }
 
-// next removes and returns the first part. It returns false if that part is malformed. p must not be empty.
+// next removes and returns the first part. It returns false, and removes nothing, if that part is malformed
+// or of an unknown kind. p must not be empty.
 func (p *parts) next() (part, bool) {
 	b := []byte(*p)
 	n := partLength(b)
@@ -58,7 +59,8 @@
 	return first, true
 }
 
-// partLength returns the length in bytes that the first part of b declares, or 0 if it is malformed.
+// partLength returns the length in bytes that the first part of b declares, or 0 if it is malformed or of
+// an unknown kind. b must not be empty.
 func partLength(b []byte) int {
 	switch partKind(b[0]) {
 	case partPing, partAck:
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// sendProbe probes a member on behalf of requester, or for this process itself if requester is nil.
+// sendProbe probes a member, whose slot must be known, on behalf of requester, or for this process itself
+// if requester is nil.
 func (c *Core) sendProbe(m *member, requester *probeRequester) {
 	sequence := c.prober.begin(m.ID, c.now, requester)
 	d := c.newDatagram()
@@ -80,7 +81,8 @@
 	c.requestIndirectProbes(indirectProbe{sequence: sequence, target: p.target})
 }
 
-// requestIndirectProbes asks randomly chosen members that answer this process to probe one that did not.
+// requestIndirectProbes asks up to maxIndirectProbes randomly chosen members that answer this process to
+// probe one that did not.
 func (c *Core) requestIndirectProbes(request indirectProbe) {
 	var candidates []int
 	for slot, id := range c.addresses.memberAt {
@@ -98,7 +100,8 @@
 }
 
 // handleIndirectProbeTimeout suspects a member that answered neither this process nor those asked to probe
-// it, unless a process is known to have heard it within Config.ProbeTimeout.
+// it, unless a process is known to have heard it within Config.ProbeTimeout. If this process has heard nobody
+// for two probe intervals, it also lengthens its own timeouts.
 func (c *Core) handleIndirectProbeTimeout(p *probe) {
 	m := c.members.get(p.target)
 	if m == nil {
@@ -110,7 +113,7 @@
 		c.spread(m.ID)
 	}
 	if c.now-c.isolation.lastHeard > 2*c.cfg.ProbeInterval {
-		c.prober.health.degrade() // no datagrams arrive at all: the fault may be at this process
+		c.prober.health.degrade() // no datagram has arrived: the fault may be at this process
 	}
 }
 
--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -73,7 +73,7 @@
 	rejectedName  Rejection = 2
 )
 
-// String returns the reason as it appears in the log.
+// String returns the reason as it appears in the log, or "unknown" for a number that is no reason.
 func (r Rejection) String() string {
 	switch r {
 	case rejectedFleet:
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// gossipItem is a member whose update still has to be sent sendsLeft times.
+// gossipItem is a member whose update, which is what this process knows about it, still has to be sent
+// sendsLeft times.
 type gossipItem struct {
 	member    uint32 // member ID
 	sendsLeft int
@@ -15,8 +16,9 @@
 // gossipQueue holds the members whose updates go out with the next datagrams, the least often sent first.
 type gossipQueue struct{ items []gossipItem }
 
-// spread queues the update of the member id, to be sent as often as needed to reach all of the given
-// number of members: epidemic broadcast needs O(log n) sends per process.
+// spread queues the update of the member id, or starts its count of sends again if it is queued. members
+// is the number of other members in the view: epidemic broadcast needs O(log n) sends per process. The
+// two added to it keep the logarithm at 1 or more.
 func (q *gossipQueue) spread(id uint32, members int) {
 	sends := 3 * int(math.Ceil(math.Log2(float64(members+2))))
 	for i := range q.items {
@@ -28,7 +30,8 @@
 	q.items = append(q.items, gossipItem{id, sends})
 }
 
-// drain calls write for each queued member and removes those whose update has been sent often enough. write
+// drain calls write for each queued member, the least often sent first, and removes those whose update
+// has been sent often enough. write
 // must add the update to a datagram and report whether it fitted.
 func (q *gossipQueue) drain(write func(id uint32) bool) {
 	slices.SortStableFunc(q.items, func(a, b gossipItem) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -1,6 +1,6 @@
 package membership
 
-// handlePart handles one part of a member's datagram.
+// handlePart handles one part of a datagram that the member from has sent from slot.
 func (c *Core) handlePart(from *member, slot int, p part) {
 	switch p.kind() {
 	case partPing:
@@ -91,8 +91,8 @@
 	}
 }
 
-// handleContact records that this process has heard a member, and marks the member as alive. If the
-// member has ended, only a newer incarnation has this effect.
+// handleContact records that this process has heard a member at slot, and marks the member as alive. If the
+// member has left or is gone, only a newer incarnation has this effect.
 func (c *Core) handleContact(m *member, slot int, incarnation Incarnation) {
 	newer := incarnation > m.Incarnation
 	c.raiseIncarnation(m, incarnation)
@@ -111,7 +111,7 @@
 }
 
 // handleIndirectContact records that another process heard a member at the given time. It marks the member as
-// alive if that is less than half of Config.UnreachableAfter ago and the member has not ended.
+// alive if it was last heard less than half of Config.UnreachableAfter ago and has not left and is not gone.
 func (c *Core) handleIndirectContact(m *member, at Time) {
 	m.HeardByAny = max(m.HeardByAny, at)
 	fresh := c.now-m.HeardByAny < c.cfg.UnreachableAfter/2
--- a/internal/fleet/membership/isolation.go
+++ b/internal/fleet/membership/isolation.go
@@ -14,13 +14,13 @@
 // the silence of the others proves nothing about them.
 type isolation struct {
 	started   bool // whether the first tick has passed
-	lastTick  Time
+	lastTick  Time // monotonic clock at the last tick, or at the datagram that showed a pause after it
 	lastWall  Time // the wall clock at lastTick, in Unix nanoseconds
 	lastHeard Time // when the last accepted datagram arrived, or when the last pause ended if that is later
 	// lastMinority is when this process last saw no majority. GoneAfter counts from then at the earliest,
 	// so that a process does not mark members as gone as soon as it regains a majority.
-	lastMinority      Time
-	noSuspicionBefore Time // when this process may suspect others again after a pause
+	lastMinority      Time // zero if never
+	noSuspicionBefore Time // when this process may suspect others again after a pause; zero if it was never paused
 }
 
 // start records the clocks at the first tick.
@@ -29,8 +29,8 @@
 }
 
 // tick records the clocks and returns the time since the last tick. It reports a pause if the monotonic
-// clock or the wall clock advanced by more than threshold: in a suspended machine the monotonic clock can
-// stand still. A wall clock that was set ahead is therefore also reported as a pause.
+// clock advanced by more than threshold, or the wall clock by more than threshold beyond that: in a
+// suspended machine the monotonic clock can stand still. So a wall clock that was set ahead also counts.
 func (i *isolation) tick(now, wall, threshold Time) (gap Time, paused bool) {
 	gap = now - i.lastTick
 	jump := wall - i.lastWall - gap // by how much more than the monotonic clock the wall clock advanced
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -14,8 +14,8 @@
 	maxIndirectProbes = 3
 	// requestedProbeTimeout is how long a probe on behalf of another member may take.
 	requestedProbeTimeout = 2 * sec
-	// turnsPerEndedProbe is the average number of an ended member's turns in which it is probed once. It is
-	// still probed, as a restarted process may be at its address.
+	// turnsPerEndedProbe is the average number of rounds, in each of which every slot has one turn, in which
+	// a member that has left or is gone is probed once. A restarted process may be at its address.
 	turnsPerEndedProbe = 8
 )
 
@@ -23,6 +23,7 @@
 // this process trusts its own timeouts.
 type localHealth int
 
+// degrade lengthens timeouts by a step, and improve shortens them.
 func (h *localHealth) degrade() { *h = min(maxHealth, *h+1) }
 func (h *localHealth) improve() { *h = max(0, *h-1) }
 
@@ -49,8 +50,8 @@
 	slots        []int             // in the order in which they are probed, shuffled for each round
 	position     int               // index in slots of the next slot
 	outstanding  map[uint32]*probe // by sequence number
-	lastSequence uint32
-	nextProbe    Time // when the next slot is due
+	lastSequence uint32            // sequence number of the last probe sent
+	nextProbe    Time              // when the next slot is due
 	health       localHealth
 }
 
@@ -65,6 +66,7 @@
 	return p
 }
 
+// shuffle puts the slots into a random order.
 func (p *prober) shuffle() {
 	p.rng.Shuffle(len(p.slots), func(i, j int) { p.slots[i], p.slots[j] = p.slots[j], p.slots[i] })
 }
--- a/internal/fleet/membership/reason.go
+++ b/internal/fleet/membership/reason.go
@@ -63,7 +63,7 @@
 	reasonAnnouncedShutdown:     "announced_shutdown",
 }
 
-// String returns the reason as it appears in the log, or "unknown".
+// String returns the reason as it appears in the log, or "unknown" for a number that is no reason.
 func (r ChangeReason) String() string {
 	if int(r) < len(changeReasonNames) {
 		return changeReasonNames[r]
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -39,7 +39,7 @@
 // ReceiveFrom learns if the datagram is well-formed and of this fleet.
 func (c *Core) ReceiveFrom(now Time, from netip.AddrPort, data []byte) error {
 	if _, _, err := decodeHeader(data, c.fleet); err != nil {
-		return c.Receive(now, -1, data)
+		return c.Receive(now, -1, data) // returns the same error; an address that sends such datagrams gets no slot
 	}
 	return c.Receive(now, c.learnSlot(from), data)
 }
@@ -54,7 +54,8 @@
 	return slot
 }
 
-// Receive handles a datagram from the address of slot. For a datagram that it rejects, it returns
+// Receive handles a datagram from the address of slot. It rejects datagrams from a slot that does not exist
+// as malformed. For a datagram that it rejects, it returns
 // ErrMalformed, ErrOtherVersion, ErrOtherFleet or a *NameInUseError, all of which Counts includes. If a
 // member rejects this process by the datagram, it returns a *RejectedError.
 func (c *Core) Receive(now Time, slot int, data []byte) error {
@@ -122,7 +123,7 @@
 }
 
 // handleOldIncarnation answers a datagram of an older incarnation with the incarnation known here. If
-// the sender is the current process, whose clock was set back, it raises its own incarnation.
+// the sender is the current process, whose clock was set back, the answer makes it raise its incarnation.
 func (c *Core) handleOldIncarnation(slot int, sender uint32) {
 	c.counts.OldIncarnation++
 	d := c.newDatagram()
@@ -130,7 +131,8 @@
 	c.transmit(slot, d)
 }
 
-// handleDatagram handles an accepted datagram: its sender counts as heard.
+// handleDatagram handles an accepted datagram: its sender counts as heard. It returns a *RejectedError if
+// the sender does not admit this process.
 func (c *Core) handleDatagram(slot int, h header, body parts) error {
 	c.counts.Heard++
 	c.isolation.lastHeard = c.now
--- a/internal/fleet/membership/seal.go
+++ b/internal/fleet/membership/seal.go
@@ -30,8 +30,8 @@
 // one at all members, then make it the first one at all members, then remove the old one. A Seal is not
 // safe for concurrent use.
 type Seal struct {
-	hashes       []hash.Hash // keyed hashes, in the order of the keys
-	lastSequence uint32
+	hashes       []hash.Hash        // keyed hashes, in the order of the keys
+	lastSequence uint32             // of the last datagram that Seal sealed
 	windows      map[uint32]*window // by the sender's ID
 	buffer       [MaxDatagramBytes]byte
 }
@@ -39,7 +39,7 @@
 // window records which sequence numbers of one process have arrived, as in IPsec.
 type window struct {
 	start    uint64 // Incarnation.Start of the process
-	highest  uint32 // highest sequence number that has arrived
+	highest  uint32 // highest sequence number that has arrived; 0 if none has
 	received uint64 // bit n is set if highest-n has arrived
 }
 
--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -23,9 +23,9 @@
 }
 
 const (
-	phiWindow       = 100  // intervals
+	phiWindow       = 100  // maximum number of recorded intervals
 	phiMinIntervals = 20   // intervals that must be recorded before the detector suspects a process
-	phiMinDeviation = 0.05 // seconds
+	phiMinDeviation = 0.05 // minimum standard deviation, in seconds
 	phi8Deviations  = 5.61 // standard deviations beyond which 1e-8 of a normal distribution lies
 )
 
@@ -43,8 +43,8 @@
 	return mean + phi8Deviations*deviation
 }
 
-// recordArrival records a heartbeat that arrived at a time, in seconds, and reports whether the silence
-// before it raised a false alarm.
+// recordArrival records a heartbeat that arrived at the time at, in seconds, and reports whether the
+// silence before it was so long that the detector suspected the sender, which is a false alarm.
 func (a *arrivalHistory) recordArrival(at float64) (alarm bool) {
 	alarm = len(a.intervals) >= phiMinIntervals && at-a.last > a.suspectAfter()
 	if a.last > 0 {
@@ -86,7 +86,7 @@
 	return Cost{
 		Messages:      messages,
 		Bytes:         messages * heartbeatBytes,
-		DetectionTime: delays[(99*len(delays)-1)/100],
+		DetectionTime: delays[(99*len(delays)-1)/100], // the 99th percentile
 		FalseAlarms:   float64(alarms) / float64(links) * float64(n*(n-1)) * 3600e9 / float64(duration),
 	}
 }
--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -65,7 +65,8 @@
 	return others > 1
 }
 
-// StateOf returns the state of process j in the view of process i, or Joining if i does not know it.
+// StateOf returns the state of process j in the view of process i, or Joining if i does not know j. i and j
+// are process numbers.
 func (f *Fleet) StateOf(i, j int) membership.State {
 	id := membership.ID(Name(j))
 	for _, m := range f.Nodes[i].Core.View() {
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -22,7 +22,7 @@
 type observation struct {
 	diedAt        Time         // when the victim died; zero while it is alive
 	alarms        map[int]bool // IDs of living members that some process saw as unreachable or gone
-	detectedAfter map[int]Time // by process: time from the death until it saw the victim as unreachable or gone
+	detectedAfter map[int]Time // time from the death until a process saw the victim as unreachable or gone, by its number
 }
 
 // Measure returns the cost of package membership in a fleet of n processes. loss is the probability that
@@ -62,6 +62,7 @@
 }
 
 // detectionTime returns the time after which 99 % of the survivors had detected a death, or -1 if fewer did.
+// detectedAfter holds the times of those that did, by process number.
 func detectionTime(detectedAfter map[int]Time, survivors int) Time {
 	var delays []Time
 	for _, t := range detectedAfter {
--- a/internal/fleet/membership/simulation/fleet.go
+++ b/internal/fleet/membership/simulation/fleet.go
@@ -44,9 +44,10 @@
 	Delay       Time          // one-way delay of a datagram
 	Jitter      Time          // maximum random addition to Delay; a later datagram may overtake an earlier one
 	CutLinks    map[link]bool // links that lose all datagrams
-	// OnChange, if not nil, is called with each change of the view of process at.
+	// OnChange, if not nil, is called with each change of the view of the process with the number at.
 	OnChange func(at int, c membership.Change)
-	// OnSend, if not nil, is called with each datagram before faults of the network apply.
+	// OnSend, if not nil, is called with each datagram before faults of the network apply. from is the
+	// number of the sender, and slot the receiver's slot at the sender.
 	OnSend func(from, slot int, datagram []byte)
 	// SkipChecks disables the checks of invariants, which are most of the work in large fleets.
 	SkipChecks bool
@@ -55,8 +56,8 @@
 	Seeds     int
 	Violation string // description of the first violated invariant; empty if there is none
 
-	now        Time
-	lastEvent  int // sequence number of the last scheduled event
+	now        Time // since the start of the run
+	lastEvent  int  // sequence number of the last scheduled event
 	rng        *rand.Rand
 	queue      eventQueue
 	baseConfig membership.Config
@@ -90,7 +91,8 @@
 // Name returns the name of process i.
 func Name(i int) string { return fmt.Sprint("n", i) }
 
-// Start starts process i, or restarts it with a new incarnation. It panics if the configuration is invalid.
+// Start starts process i, or replaces it by one with a new incarnation. Its first turn, in which it calls
+// Core.Tick, is within TurnInterval. Start panics if the configuration is invalid.
 func (f *Fleet) Start(i int) {
 	n := f.Nodes[i]
 	core, err := membership.New(f.config(i), n)
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -16,15 +16,15 @@
 	Paused    bool
 	Deaf      bool // whether it receives no datagrams
 	Mute      bool // whether all datagrams that it sends are lost
-	Slow      bool // whether it gets only every second turn
+	Slow      bool // whether it skips every second turn, in which it would call Core.Tick
 	WallStep  Time // how far its wall clock is ahead; negative if behind
 	SentCount int  // number of datagrams that it has sent
 
 	fleet     *Fleet
-	index     int
-	turns     int              // number of turns, including those skipped by Paused and Slow
-	inbox     []queuedDatagram // datagrams that arrived while it was paused
-	pausedAt  Time
+	index     int                               // number of the process
+	turns     int                               // number of turns, including those skipped by Paused and Slow
+	inbox     []queuedDatagram                  // datagrams that arrived while it was paused
+	pausedAt  Time                              // start of the last pause
 	resumedAt Time                              // end of the last pause of more than a second; zero if there was none
 	newest    map[uint32]membership.Incarnation // newest incarnation in the view so far, by member ID
 	version   uint64                            // version of the view at the last check
@@ -32,7 +32,7 @@
 
 // queuedDatagram is a datagram that waits for a paused process.
 type queuedDatagram struct {
-	from int
+	from int // number of the sending process
 	data []byte
 }
 
@@ -66,7 +66,8 @@
 	n.checkInvariants()
 }
 
-// Send implements membership.Effects. It simulates the network.
+// Send implements membership.Effects. It simulates the network: the datagram may be lost, duplicated and
+// delayed. A datagram that is too long is a violation.
 func (n *Node) Send(slot int, data []byte) {
 	f := n.fleet
 	n.SentCount++
@@ -100,7 +101,7 @@
 // deaf or the link is cut, and waits in the inbox if the process is paused.
 func (n *Node) deliver(from int, data []byte) {
 	switch {
-	case !n.Running || n.Deaf || n.fleet.CutLinks[link{from, n.index}]:
+	case !n.Running || n.Deaf || n.fleet.CutLinks[link{from, n.index}]: // the datagram is lost
 	case n.Paused:
 		if len(n.inbox) < maxInbox {
 			n.inbox = append(n.inbox, queuedDatagram{from, data})
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -14,8 +14,8 @@
 	Kind        string // see IsFaultKind
 	StartMS     Time   // in milliseconds since the start of the run
 	DurationMS  Time   // in milliseconds
-	Process     int    // the affected process
-	Destination int    // the receiving process, for faults of a link
+	Process     int    // number of the affected process, or of the sending one for faults of a link
+	Destination int    // number of the receiving process, for faults of a link; otherwise not used
 	// Amount is the probability of loss or duplication. For a step of the wall clock, 0.2 means no step,
 	// and each 0.1 more sets it 30 s ahead.
 	Amount float64
@@ -35,19 +35,19 @@
 	faultDeaf    = "deaf"    // the process receives no datagrams
 	faultMute    = "mute"    // the datagrams that the process sends are lost
 	faultSlow    = "lame"    // the process gets only every second turn
-	faultStep    = "step"    // the process's wall clock is off
+	faultStep    = "step"    // the process's wall clock is ahead or behind, as set by Amount
 )
 
-// Kinds of faults of links and of the network. Only real processes can have the last two: garbage in place
-// of sealed datagrams, and a full disk.
+// Kinds of faults of links and of the network. The last two are for real processes only and cannot be
+// simulated.
 const (
 	faultCut         = "cut"     // Process is cut off from all others
 	faultOneWay      = "one-way" // datagrams from Process to Destination are lost
 	faultLoss        = "loss"    // datagrams are lost with probability Amount
 	faultDuplication = "twice"   // datagrams arrive twice with probability Amount
 	faultDelay       = "slow"    // datagrams have a jitter of 100 ms
-	faultGarbage     = "garbage"
-	faultFullDisk    = "full"
+	faultGarbage     = "garbage" // garbage arrives in place of sealed datagrams
+	faultFullDisk    = "full"    // the disk is full
 )
 
 // simulatedFaults lists the kinds that RandomPlan chooses from. Their order must not change: it determines
@@ -55,7 +55,7 @@
 var simulatedFaults = []string{faultPause, faultKill, faultRestart, faultLeave, faultCut, faultOneWay, faultDeaf, faultMute, faultLoss,
 	faultDuplication, faultStep, faultSlow, faultDelay}
 
-// IsFaultKind reports whether kind is a kind of fault of this simulation or of real processes.
+// IsFaultKind reports whether kind is a kind of fault, including those that only real processes can have.
 func IsFaultKind(kind string) bool {
 	return slices.Contains(simulatedFaults, kind) || kind == faultGarbage || kind == faultFullDisk
 }
@@ -78,7 +78,8 @@
 	return plan
 }
 
-// Apply schedules the faults of a plan and returns the end of the last one, in milliseconds.
+// Apply schedules the faults of a plan. It returns the end of the last one in milliseconds since the start
+// of the run, or 0 if the plan is empty.
 func (f *Fleet) Apply(plan []Fault) (endMS Time) {
 	for _, p := range plan {
 		end := p.StartMS + p.DurationMS
--- a/internal/fleet/membership/simulation/queue.go
+++ b/internal/fleet/membership/simulation/queue.go
@@ -1,13 +1,13 @@
 package simulation
 
-// scheduledEvent is a call at a time of the run.
+// scheduledEvent is a function to call at a given time of the simulation.
 type scheduledEvent struct {
-	due      Time
-	sequence int // order of scheduling, which breaks ties between equal times
+	due      Time // since the start of the simulation
+	sequence int  // rises with each scheduled event; events that are due at the same time run in this order
 	run      func()
 }
 
-// eventQueue is a heap of scheduled events that implements heap.Interface.
+// eventQueue is a heap of scheduled events, with the next one first. It implements heap.Interface.
 type eventQueue []scheduledEvent
 
 // Len implements heap.Interface.
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -25,7 +25,7 @@
 
 var stateNames = [...]string{"joining", "alive", "suspect", "unreachable", "left", "gone"}
 
-// String returns the name of the state as shown to operators, or "unknown".
+// String returns the name of the state as shown to operators, or "unknown" for a number that is no state.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -11,8 +11,8 @@
 	Incarnation Incarnation
 	HeardHere   Time     // when this process last heard the member; zero if never
 	HeardByAny  Time     // when any process last heard the member; zero if never
-	Unheard     []uint32 // IDs of the members that it reports as unheard
-	UnheardAt   Time     // when it last reported Unheard
+	Unheard     []uint32 // IDs of the members from which this one last reported to hear nothing
+	UnheardAt   Time     // when this member last reported Unheard; zero if never
 }
 
 // member is a Member with the state of failure detection.
@@ -46,13 +46,13 @@
 // memberTable is one process's view of the other members. Its counts and digest are updated with each
 // change: each datagram needs them, and iterating over a large fleet for each datagram would cost too much.
 type memberTable struct {
-	byID                 map[uint32]*member
-	ids                  []uint32 // sorted, as no decision may depend on the iteration order of a map
-	version              uint64   // rises with each change that is reported
-	digest               uint32   // XOR of the members' digests
-	alive                int      // number of members that are alive or suspect
-	suspectOrUnreachable int      // number of members that are suspect or unreachable
-	unanswered           int      // number of members with an unanswered probe
+	byID                 map[uint32]*member // by member ID
+	ids                  []uint32           // member IDs, sorted, as no decision may depend on the iteration order of a map
+	version              uint64             // rises with each change that is reported
+	digest               uint32             // XOR of the members' digests
+	alive                int                // number of members that are alive or suspect
+	suspectOrUnreachable int                // number of members that are suspect or unreachable
+	unanswered           int                // number of members with an unanswered probe
 }
 
 func newMemberTable() memberTable { return memberTable{byID: map[uint32]*member{}} }
@@ -105,7 +105,7 @@
 	m.unansweredSince = since
 }
 
-// count adds delta to the counts that include state s.
+// count adds delta, which is 1 or -1, to the counts that include state s.
 func (t *memberTable) count(s State, delta int) {
 	if s.countsForMajority() {
 		t.alive += delta
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -58,7 +58,7 @@
 	c.spread(m.ID)
 }
 
-// handleLivingUpdate handles an update that reports a member as alive, suspect or unreachable. newer is
+// handleLivingUpdate handles an update that reports a member as alive, suspect or unreachable. newer reports
 // whether the update has a newer incarnation than the one known before.
 func (c *Core) handleLivingUpdate(m *member, u MemberUpdate, newer bool) {
 	heardAt := c.now - Time(u.Age)*ms
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// handleLeaderRedirect makes the next tick request a lease from the leader that a voter names. Only a
-// redirect from the peer that was asked counts.
+// handleLeaderRedirect makes the next tick request a lease from the leader that a voter names. It ignores
+// a redirect from a peer other than the one believed to be the coordinator.
 func (p *participant) handleLeaderRedirect(from uint32, m leaderRedirect) {
 	if from == p.lease.leader && m.leader != 0 && m.leader != from {
 		p.lease.leader, p.lease.requestedAt = m.leader, 0
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -46,7 +46,7 @@
 	Voters           []string       // member names, at most maxVoters, in the same order at all voters
 	Lease            Time           // length of the leader's lease; zero or less means 1.5 s; must be the same at all voters
 	Seed             uint64         // seed of the random delays before elections
-	WallClockAtStart int64          // in hundredths of a second since 1970, not negative; ballots and epochs start above it, so they rise across restarts
+	WallClockAtStart int64          // wall clock in hundredths of a second, not negative; ballots and epochs start above it, so that they rise across restarts
 	Faults           FaultInjection // set only by simulations and experiments
 }
 
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -5,7 +5,7 @@
 // leaderState is the state of this voter as the leader.
 type leaderState struct {
 	epoch    uint64 // the ballot with which this voter was elected; 0 if it does not lead
-	ballot   uint64 // for renewals; raised above the ballots that voters have promised since
+	ballot   uint64 // for renewals; raised above ballots that voters have promised to others since the election
 	leaseEnd Time   // when the leadership ends here unless it is renewed
 	renewAt  Time   // when to request the next renewal
 }
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -18,7 +18,7 @@
 	disk       *consensus.MemoryStore // unused if the fleet has no disks
 	diskCopy   *consensus.StoredState // to be restored when faultCopyBack ends; nil if there is none
 	clockRate  float64                // rate of the monotonic clock relative to virtual time, 0.99 to 1.01
-	wallOffset Time                   // of the wall clock from virtual time
+	wallOffset Time                   // how far the wall clock is ahead of virtual time; negative if behind
 
 	// State of the present incarnation.
 	incarnation uint64
