--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -43,8 +43,8 @@
 	OwnNumber  int         // number of this process on the link
 }
 
-// Start starts an Agent for the process with the given name. o holds the section of the settings file. started is the start time of the process, from
-// which its incarnation is made. Start returns an error if the section's files or addresses cannot be used.
+// Start starts an Agent for the process with the given name. o holds the section of the
+// settings file. started is the start time of the process, from which its incarnation is made. Start returns an error if the section's files or addresses cannot be used.
 func Start(loop *netio.Loop, o Options, name string, started time.Time, platform Platform) (*Agent, error) {
 	seal, err := o.seal()
 	if err != nil {
--- a/internal/fleet/membership/address.go
+++ b/internal/fleet/membership/address.go
@@ -41,7 +41,8 @@
 }
 
 // slotFor returns the slot of address addr. For a new address it reuses the slot of a member that has left
-// or is gone, whose Slot it sets to -1, or adds a slot. It returns -1 if all slots are in use. added reports whether a slot was added.
+// or is gone, whose Slot it sets to -1, or adds a slot. It returns -1 if all slots are in use.
+// added reports whether a slot was added.
 func (b *addressBook) slotFor(addr netip.AddrPort, table *memberTable) (slot int, added bool) {
 	if i := slices.Index(b.addresses, addr); i >= 0 {
 		return i, false
--- a/internal/fleet/membership/components_test.go
+++ b/internal/fleet/membership/components_test.go
@@ -160,7 +160,7 @@
 	const threshold = 800 * ms
 	for _, c := range []struct {
 		name      string
-		now, wall Time // since the last tick
+		now, wall Time // by how much the monotonic and the wall clock advanced since the last tick
 		paused    bool
 	}{
 		{"on time", 50 * ms, 50 * ms, false},
--- a/internal/fleet/membership/datagram_test.go
+++ b/internal/fleet/membership/datagram_test.go
@@ -13,7 +13,8 @@
 func (s *recordingEffects) Send(_ int, d []byte) { s.sent = append(s.sent, append([]byte(nil), d...)) }
 func (s *recordingEffects) Changed(Change)       {}
 
-// newTestCore returns the Core of a process at slot 0 of a fleet of three, after its first tick.
+// newTestCore returns the Core of a process at slot 0 of fleet f, which has three slots, and the effects that
+// record its datagrams. The Core has ticked once, at time 0 on both clocks.
 func newTestCore(t testing.TB, name string) (*Core, *recordingEffects) {
 	t.Helper()
 	s := &recordingEffects{}
@@ -25,7 +26,8 @@
 	return c, s
 }
 
-// fullDatagram returns a datagram of fleet f with parts of most kinds, which updates fill up.
+// fullDatagram returns a datagram of member other of fleet f. It has parts of most kinds, and as many updates
+// as fit.
 func fullDatagram() []byte {
 	d := &datagram{}
 	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), 99}, MaxDatagramBytes)
@@ -41,7 +43,8 @@
 	return d.bytes()
 }
 
-// FuzzReceive checks that no datagram makes Receive panic and that a rejected one does not change the view.
+// FuzzReceive checks that no datagram makes Receive panic, that a rejected one does not change the view, and
+// that the datagrams sent afterwards can be decoded and are not too long.
 func FuzzReceive(f *testing.F) {
 	valid := fullDatagram()
 	for n := range len(valid) {
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -11,7 +11,8 @@
 // members in the view.
 func minSuspicion(members int) Time { return suspicionStep * Time(1+bits.Len(uint(members))) }
 
-// probeNext probes the next slot in turn. It also probes slots at which no member is known, so that
+// probeNext probes the next slot in turn, but skips most turns of members that have left or are gone. It
+// also probes slots at which no member is known, so that
 // members find each other.
 func (c *Core) probeNext() {
 	for range c.prober.slots {
@@ -113,7 +114,7 @@
 		c.spread(m.ID)
 	}
 	if c.now-c.isolation.lastHeard > 2*c.cfg.ProbeInterval {
-		c.prober.health.degrade() // no datagram has arrived: the fault may be at this process
+		c.prober.health.degrade() // no datagram has arrived lately: the fault may be at this process
 	}
 }
 
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// processFault returns a fault of one process, with start and duration in milliseconds.
+// processFault returns a fault of one process, given by its number. start and duration are in milliseconds.
 func processFault(kind string, start, duration Time, process int) Fault {
 	return Fault{Kind: kind, StartMS: start, DurationMS: duration, Process: process}
 }
@@ -60,7 +60,7 @@
 		plan      []Fault
 		loss      float64 // probability that a datagram is lost
 		neverGone []int   // processes that no process may see as gone
-		until     Time    // end of the run, in seconds
+		until     Time    // end of the run, in seconds since its start
 	}{
 		{"a pause of 0.2 s", []Fault{processFault(faultPause, 5000, 200, 1)}, 0, all, 15},
 		{"a pause of 2 s", []Fault{processFault(faultPause, 5000, 2000, 1)}, 0, all, 15},
@@ -99,7 +99,8 @@
 	}
 }
 
-// checkNotGone checks that no running process that receives datagrams sees one of processes as gone.
+// checkNotGone records a violation if a process that runs, is not paused and receives datagrams sees one of
+// processes, given by their numbers, as gone.
 func (f *Fleet) checkNotGone(processes []int) {
 	for i, n := range f.Nodes {
 		for _, j := range processes {
@@ -161,7 +162,8 @@
 	}
 }
 
-// TestLeftIsNotUnreachable checks that a graceful shutdown is distinguished from a death.
+// TestLeftIsNotUnreachable checks that a process that shut down gracefully is seen as left, and a killed one
+// as unreachable.
 func TestLeftIsNotUnreachable(t *testing.T) {
 	f := New(5, 4, membership.Config{})
 	f.Schedule(5*Sec, func() { f.Leave(1) })
--- a/internal/fleet/membership/simulation/recorded_test.go
+++ b/internal/fleet/membership/simulation/recorded_test.go
@@ -38,7 +38,7 @@
 		}
 		lines[seed] = fmt.Sprintf("seed=%d processes=%d %s", seed, processes, digest)
 	}
-	const sampled = 8
+	const sampled = 8 // number of plans that also yield sample datagrams; they run one after the other
 	for seed := range uint64(sampled) {
 		runPlan(seed, samples)
 	}
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -47,7 +47,7 @@
 // change: each datagram needs them, and iterating over a large fleet for each datagram would cost too much.
 type memberTable struct {
 	byID                 map[uint32]*member // by member ID
-	ids                  []uint32           // member IDs, sorted, as no decision may depend on the iteration order of a map
+	ids                  []uint32           // member IDs, sorted: no decision may depend on the order of a map
 	version              uint64             // rises with each change that is reported
 	digest               uint32             // XOR of the members' digests
 	alive                int                // number of members that are alive or suspect
--- a/internal/fleet/ownership/assign_test.go
+++ b/internal/fleet/ownership/assign_test.go
@@ -9,10 +9,11 @@
 func offersAll(string) bool  { return true }
 func offersNone(string) bool { return false }
 
-// assignTestTime is the present time of the tests of Assign.
+// assignTestTime is the time that the tests pass to Assign as the present one.
 const assignTestTime = 100 * sec
 
-// stableCandidates returns three candidates that have been eligible for long and can own every job.
+// stableCandidates returns the candidates a, b and c, which have been eligible for 60 s, are heard by all
+// members and can own every job.
 func stableCandidates() (candidates []Candidate) {
 	for i, name := range []string{"a", "b", "c"} {
 		candidates = append(candidates, Candidate{Name: name, Incarnation: uint64(i + 1), Eligible: true, EligibleFor: 60 * sec, Offers: offersAll})
@@ -20,7 +21,8 @@
 	return candidates
 }
 
-// changedLongAgo returns a time after which a handover does not have to wait any more.
+// changedLongAgo returns 0 as the time of a job's last change of owner: at assignTestTime the job may be
+// handed over.
 func changedLongAgo(string) Time { return 0 }
 
 // TestFreeJobsAreSpread tests that Assign balances the number of jobs when it assigns free jobs.
--- a/internal/fleet/ownership/assignjobs_test.go
+++ b/internal/fleet/ownership/assignjobs_test.go
@@ -13,9 +13,9 @@
 	core          *Core
 	table         *Table
 	queue         []func()       // each applies a proposed command
-	applying      bool           // a command is being applied
-	grants        map[string]int // by job
-	registrations map[string]int // by job
+	applying      bool           // whether a command is being applied
+	grants        map[string]int // number of proposed grants, by job name
+	registrations map[string]int // number of proposed registrations, by job name
 }
 
 // Propose counts the command and applies it.
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -20,7 +20,7 @@
 const (
 	quorumLease = 1500 * ms
 	clockStep   = quorumLease / 3   // by which all clocks advance in one step
-	clockSkew   = quorumLease / 120 // by which one clock advances in one step: about its drift during a lease at 1 %
+	clockSkew   = quorumLease / 120 // by which one clock advances in one step: about what a clock that is 1 % fast gains during a lease
 )
 
 // successors holds the worlds that one step from another world leads to.
@@ -99,7 +99,8 @@
 	}
 }
 
-// stepClocks advances the clocks of all voters by the same time.
+// stepClocks advances the clocks of all voters by clockStep, and does what Tick then does: it ends a
+// leadership whose lease has ended, and continues an election.
 func (w *world) stepClocks() {
 	w.clockSteps--
 	for _, q := range w.voters {
@@ -129,7 +130,7 @@
 	w.highestEpoch = max(w.highestEpoch, p.epoch)
 }
 
-// check records a violation if more than one voter leads.
+// check drops the messages that would be ignored, and records a violation if more than one voter leads.
 func (w *world) check() {
 	w.dropIgnored()
 	leader := -1
@@ -146,13 +147,13 @@
 
 // exploration is the result of explore.
 type exploration struct {
-	visited   int    // number of worlds
-	complete  bool   // all reachable worlds were visited
-	violation string // empty if there is none
+	visited   int    // number of worlds visited
+	complete  bool   // whether all reachable worlds were visited
+	violation string // description of the first violation; empty if there is none
 }
 
-// explore visits up to limit worlds, each once, and stops at the first violation. The order is
-// random but the same in each run.
+// explore visits up to limit worlds that start leads to, each once, and stops at the first violation. f is
+// injected into all voters and the receiver. The order is random but the same in each run.
 func explore(start world, f FaultInjection, limit int) (e exploration) {
 	w := &start
 	w.fence = &Fence{Faults: f}
@@ -215,7 +216,7 @@
 		name  string
 		start world
 		fault FaultInjection
-		slow  bool // the fault is found only after many worlds; injected only if EXPLORE_STATES is set
+		slow  bool // whether the fault is found only after many worlds; then it is injected only if EXPLORE_STATES is set
 	}{
 		{"a voter that has just started does not abstain", world{elections: 2, restarts: 1, clockSteps: 1}, FaultInjection{SkipAbstention: true}, false},
 		{"a lease starts at its reply", world{elections: 2, clockSteps: 3, skews: 1}, FaultInjection{StartLeaseAtReply: true}, true},
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -23,7 +23,7 @@
 type packet struct {
 	from, to int    // numbers of voters; to may be receiverNumber
 	data     []byte // the message; nil for an effect
-	epoch    uint64 // of the effect; 0 for a message
+	epoch    uint64 // in which the sender of the effect led; 0 for a message
 }
 
 // world is a state of the exploration: three voters, a receiver and the packets in flight.
@@ -31,8 +31,8 @@
 	voters       [3]*Quorum
 	inFlight     []packet
 	fence        *Fence
-	highestEpoch uint64 // of the effects that the receiver has accepted
-	violation    string // empty if there is none
+	highestEpoch uint64 // highest epoch of an effect that the receiver has accepted; 0 if none
+	violation    string // description of the last violation; empty if there is none
 
 	// Number of times that each step may still happen.
 	elections, renewals, restarts, clockSteps, skews, effects int
@@ -57,7 +57,8 @@
 func (worldEffects) Confirmed(uint64)             {}
 func (worldEffects) LogEvent(string, ...any)      {}
 
-// newVoter returns a new process of a voter, which starts at the given time.
+// newVoter returns a new process of the voter with a number, which starts at now on its own clock, with f
+// injected.
 func (w *world) newVoter(voter int, now Time, f FaultInjection) *Quorum {
 	cfg := QuorumConfig{Group: "g", Name: voterNames[voter], Voters: voterNames, Lease: quorumLease, WallClockAtStart: now / (10 * ms), Faults: f}
 	q, err := NewQuorum(cfg, map[byte]group.Machine{}, worldEffects{w, voter})
@@ -121,9 +122,9 @@
 	for _, name := range voterNames {
 		p, ok := q.candidate.promises[group.Peer(name)]
 		if ok && p.promised {
-			h.append(1)
+			h.append(1) // promised
 		} else if ok {
-			h.append(2)
+			h.append(2) // refused
 		}
 		h.append(p.position.epoch)
 	}
--- a/internal/fleet/ownership/fuzz_test.go
+++ b/internal/fleet/ownership/fuzz_test.go
@@ -21,7 +21,8 @@
 func (discardEffects) Applied(machine byte, tag uint64, result []byte)                        {}
 func (discardEffects) Confirmed(tag uint64)                                                   {}
 
-// newVoterCore returns the Core and the Quorum of voter a, one of three.
+// newVoterCore returns the Core and the Quorum of voter a, one of three in group g. The Core has incarnation
+// 1 and can own job j. Neither has ticked, and their effects are discarded.
 func newVoterCore(t testing.TB) (*Core, *Quorum) {
 	t.Helper()
 	table := NewTable()
@@ -36,7 +37,8 @@
 	return c, q
 }
 
-// FuzzMessages tests that no message from a single peer makes the process panic or an owner.
+// FuzzMessages tests that no message from a single peer makes the process panic or become the owner of a
+// job.
 func FuzzMessages(f *testing.F) {
 	for kind := range byte(15) {
 		f.Add([]byte{kind, 1, 'a', 1, 'j', 1, 1, 0, 0, 1, 2, 3})
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -6,8 +6,8 @@
 //   - Lease: an owner stops by itself before the coordinator considers its lease expired. The owner
 //     shortens the lease and the coordinator lengthens it, by more than their clocks can drift apart.
 //     The lease alone is not enough: an owner may be paused between checking it and acting.
-//   - Fencing: every receiver remembers the highest token of each job (Fence) and rejects effects
-//     with lower tokens, so that a stale owner changes nothing once the receiver has accepted an
+//   - Fencing: every receiver remembers the highest token of each job (Fence) and rejects effects,
+//     the messages by which an owner changes it, with lower tokens, so that a stale owner changes nothing once the receiver has accepted an
 //     effect of a later owner. The memory lasts as long as the receiver's process: a new process
 //     starts with an empty Fence. Replies to queries carry no token. They are safe because
 //     receivers limit their lifetime, counted from the query (leases of rules, grants of quota,
@@ -31,7 +31,7 @@
 	ms  = Time(1e6)
 	sec = Time(1e9)
 
-	maxNameBytes   = 64      // of a member, a job or a group
+	maxNameBytes   = 64      // of the name of a member, a job or a group
 	maxReasonBytes = 200     // of a reason's text
 	maxBodyBytes   = 1 << 16 // of an effect, a query, a reply or a replicated command
 
--- a/internal/fleet/ownership/reasons.go
+++ b/internal/fleet/ownership/reasons.go
@@ -38,7 +38,7 @@
 // String returns the reason's code, as used in the log.
 func (r ReleaseReason) String() string { return releaseReasonCodes[r] }
 
-// Texts that the table stores as the reason of a job's last change. The text of textOwnerUnfit
+// Texts that the table of jobs stores as the reason of a job's last change. The text of textOwnerUnfit
 // mentions "starved" although nothing measures that (see Core.SetEligible): stored texts do not
 // change.
 const (
@@ -51,7 +51,7 @@
 	ownerLostFormat = "its owner %s was lost"
 )
 
-// Texts that are sent and stored as the reason of a release.
+// Texts that are sent and stored as the reason why a process released a job.
 const (
 	textLeaseEnded     = "the lease ended"
 	textHandedOver     = "it is to be handed over"
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -12,8 +12,8 @@
 // consensus) and half have voters without (ownership.Quorum).
 const recordedPlans = 200
 
-// record plays a plan and returns its line of the golden file. It adds the messages to samples
-// unless that is nil.
+// record plays the plan of a seed and returns its line of the golden file: counts of the run, and a digest
+// of all messages and the final tables. It adds the messages to samples unless samples is nil.
 func record(seed uint64, samples *golden.Samples) string {
 	cfg := fleetConfig(seed)
 	cfg.FaultPeriod = 5 * Sec
@@ -45,7 +45,7 @@
 func TestRecordedDecisions(t *testing.T) {
 	lines := make([]string, recordedPlans)
 	samples := golden.NewSamples(3)
-	const sampled = 4
+	const sampled = 4 // number of plans that also yield sample messages; they are played one after the other
 	for seed := range uint64(sampled) {
 		lines[seed] = record(seed, samples)
 	}
--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -18,13 +18,13 @@
 	return fallback
 }
 
-// fleetConfig returns the configuration for a seed. Configurations alternate between voters with
-// disks and without, and between 3 and 5 voters.
+// fleetConfig returns the configuration for a seed: five processes and three jobs. Even seeds have voters
+// with disks, and two seeds with 3 voters alternate with two with 5.
 func fleetConfig(seed uint64) Config {
 	return Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
 }
 
-// outcome sums up the results of many plans. It is safe for concurrent use.
+// outcome holds the totals and the first failure of many plans. It is safe for concurrent use.
 type outcome struct {
 	mu                               sync.Mutex
 	acceptedEffects, rejectedEffects int
@@ -43,6 +43,7 @@
 	}
 }
 
+// failed reports whether a plan has failed.
 func (o *outcome) failed() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fleet/ownership/table_test.go
+++ b/internal/fleet/ownership/table_test.go
@@ -12,7 +12,7 @@
 type randomCommand struct {
 	kind   commandKind
 	job    string
-	token  uint64
+	token  uint64 // not used by a registration
 	number uint64 // of the checkpoint
 }
 
@@ -43,8 +43,8 @@
 	return registerCommand{job: c.job, changedAt: 1}
 }
 
-// isStale reports whether a command must not change a row: its token is below the row's, or it is a
-// grant whose token is not above the row's.
+// isStale reports whether a command must not change a row because of its token: the token is below the
+// row's, or equal to it in a grant. Registrations carry no token.
 func (c randomCommand) isStale(row JobRecord) bool {
 	return c.kind != kindRegister && (c.token < row.Token || c.token == row.Token && c.kind == kindGrant)
 }
@@ -57,7 +57,8 @@
 	return row
 }
 
-// checkApplied checks a row after the command against the row before it.
+// checkApplied checks a job's row after the command against the row before it. applied reports whether the
+// table accepted the command.
 func (c randomCommand) checkApplied(t *rapid.T, before, after JobRecord, applied bool) {
 	t.Helper()
 	if after.Token < before.Token || after.CheckpointNumber < before.CheckpointNumber {
