--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -43,8 +43,9 @@
 	OwnNumber  int         // number of this process on the link
 }
 
-// Start starts an Agent for the process with the given name. o holds the section of the
-// settings file. started is the start time of the process, from which its incarnation is made. Start returns an error if the section's files or addresses cannot be used.
+// Start starts an Agent for the process with the given name. o holds the section of the settings file.
+// started is the start time of the process, from which its incarnation is made. Start returns an error
+// if the section's files or addresses cannot be used.
 func Start(loop *netio.Loop, o Options, name string, started time.Time, platform Platform) (*Agent, error) {
 	seal, err := o.seal()
 	if err != nil {
@@ -130,8 +131,9 @@
 	a.loop.After(tickInterval, a.tick)
 }
 
-// ReceiveShared handles a datagram of the platform's link, which other packages also use, and reports whether
-// the datagram belongs to membership. It returns false if the Agent is nil or has a link of its own.
+// ReceiveShared handles a datagram of the platform's link, which other packages also use, and reports
+// whether the datagram belongs to membership. It returns false if the Agent is nil or has a link of its
+// own.
 func (a *Agent) ReceiveShared(slot int, data []byte) bool {
 	if a == nil || !a.transport.shared || !membership.IsMembershipDatagram(data) {
 		return false
--- a/internal/fleet/memberagent/transport.go
+++ b/internal/fleet/memberagent/transport.go
@@ -26,10 +26,10 @@
 	return t.seal.Seal(data)
 }
 
-// unseal checks the seal of a datagram, a keyed hash with a sequence number, and removes it. Without keys it
-// returns the datagram unchanged. It returns false if the seal is not
-// valid. It counts all failures but logs only the first one, as any sender can cause any number of them. from
-// is the log field for the sender.
+// unseal checks the seal of a datagram, a keyed hash with a sequence number, and removes it. Without
+// keys it returns the datagram unchanged. It returns false if the seal is not valid. It counts all
+// failures but logs only the first one, as any sender can cause any number of them. from is the log
+// field for the sender.
 func (t *transport) unseal(from slog.Attr, data []byte) ([]byte, bool) {
 	if t.seal == nil {
 		return data, true
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -166,7 +166,7 @@
 // Version returns a number that rises with each change of the view.
 func (c *Core) Version() uint64 { return c.members.version }
 
-// Digest returns a digest of the view, to which it adds this process itself. Processes with equal views have
+// Digest returns a hash of the view, to which it adds this process itself. Processes with equal views have
 // equal digests.
 func (c *Core) Digest() uint32 {
 	self := member{Member: Member{ID: c.selfID, State: Alive, Incarnation: c.incarnation}}
--- a/internal/fleet/membership/datagram_test.go
+++ b/internal/fleet/membership/datagram_test.go
@@ -13,8 +13,8 @@
 func (s *recordingEffects) Send(_ int, d []byte) { s.sent = append(s.sent, append([]byte(nil), d...)) }
 func (s *recordingEffects) Changed(Change)       {}
 
-// newTestCore returns the Core of a process at slot 0 of fleet f, which has three slots, and the effects that
-// record its datagrams. The Core has ticked once, at time 0 on both clocks.
+// newTestCore returns the Core of a process at slot 0 of fleet f, which has three slots, and the
+// effects that record its datagrams. The Core has ticked once, at time 0 on both clocks.
 func newTestCore(t testing.TB, name string) (*Core, *recordingEffects) {
 	t.Helper()
 	s := &recordingEffects{}
@@ -26,8 +26,8 @@
 	return c, s
 }
 
-// fullDatagram returns a datagram of member other of fleet f. It has parts of most kinds, and as many updates
-// as fit.
+// fullDatagram returns a datagram of member other of fleet f. It has parts of most kinds, and as many
+// updates as fit.
 func fullDatagram() []byte {
 	d := &datagram{}
 	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), 99}, MaxDatagramBytes)
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -11,9 +11,8 @@
 // members in the view.
 func minSuspicion(members int) Time { return suspicionStep * Time(1+bits.Len(uint(members))) }
 
-// probeNext probes the next slot in turn, but skips most turns of members that have left or are gone. It
-// also probes slots at which no member is known, so that
-// members find each other.
+// probeNext probes the next slot in turn, but skips most turns of members that have left or are gone.
+// It also probes slots at which no member is known, so that members find each other.
 func (c *Core) probeNext() {
 	for range c.prober.slots {
 		slot := c.prober.nextSlot()
@@ -100,9 +99,9 @@
 	}
 }
 
-// handleIndirectProbeTimeout suspects a member that answered neither this process nor those asked to probe
-// it, unless a process is known to have heard it within Config.ProbeTimeout. If this process has heard nobody
-// for two probe intervals, it also lengthens its own timeouts.
+// handleIndirectProbeTimeout suspects a member that answered neither this process nor those asked to
+// probe it, unless a process is known to have heard it within Config.ProbeTimeout. If this process has
+// heard nobody for two probe intervals, it also lengthens its own timeouts.
 func (c *Core) handleIndirectProbeTimeout(p *probe) {
 	m := c.members.get(p.target)
 	if m == nil {
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -31,8 +31,7 @@
 }
 
 // drain calls write for each queued member, the least often sent first, and removes those whose update
-// has been sent often enough. write
-// must add the update to a datagram and report whether it fitted.
+// has been sent often enough. write must add the update to a datagram and report whether it fitted.
 func (q *gossipQueue) drain(write func(id uint32) bool) {
 	slices.SortStableFunc(q.items, func(a, b gossipItem) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
 	remaining := q.items[:0]
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -110,8 +110,9 @@
 	c.markAlive(m, reasonHeard)
 }
 
-// handleIndirectContact records that another process heard a member at the given time. It marks the member as
-// alive if it was last heard less than half of Config.UnreachableAfter ago and has not left and is not gone.
+// handleIndirectContact records that another process heard a member at the given time. It marks the
+// member as alive if it was last heard less than half of Config.UnreachableAfter ago, unless it has left
+// or is gone.
 func (c *Core) handleIndirectContact(m *member, at Time) {
 	m.HeardByAny = max(m.HeardByAny, at)
 	fresh := c.now-m.HeardByAny < c.cfg.UnreachableAfter/2
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -54,10 +54,10 @@
 	return slot
 }
 
-// Receive handles a datagram from the address of slot. It rejects datagrams from a slot that does not exist
-// as malformed. For a datagram that it rejects, it returns
-// ErrMalformed, ErrOtherVersion, ErrOtherFleet or a *NameInUseError, all of which Counts includes. If a
-// member rejects this process by the datagram, it returns a *RejectedError.
+// Receive handles a datagram from the address of slot. It rejects datagrams from a slot that does not
+// exist as malformed. For a datagram that it rejects, it returns ErrMalformed, ErrOtherVersion,
+// ErrOtherFleet or a *NameInUseError, all of which Counts includes. If a member rejects this process by
+// the datagram, it returns a *RejectedError.
 func (c *Core) Receive(now Time, slot int, data []byte) error {
 	c.now = max(c.now, now)
 	if gap, paused := c.isolation.receive(now, c.pauseThreshold()); paused && !c.cfg.IgnorePause {
@@ -103,9 +103,9 @@
 	}
 }
 
-// handleOwnName handles a datagram under this process's name. If addresses are learnt and the start times are
-// equal, this process has sent it to its own address, which is among the seeds and is probed no more.
-// Otherwise another process uses the name.
+// handleOwnName handles a datagram under this process's name. If addresses are learnt and the start
+// times are equal, this process has sent the datagram to its own address, which is among the seeds. It
+// returns nil, and the address is not probed again. Otherwise another process uses the name.
 func (c *Core) handleOwnName(slot int, h header) error {
 	if c.addresses.learnsAddresses() && h.incarnation.Start() == c.incarnation.Start() {
 		c.prober.removeSlot(slot)
@@ -115,8 +115,8 @@
 	return &NameInUseError{Name: c.cfg.Name, Sender: h.sender}
 }
 
-// nameInUse reports whether a datagram under member m's name comes from another process while m is alive
-// at another slot, from which this process has heard it within Config.UnreachableAfter.
+// nameInUse reports whether a datagram from slot, under member m's name, comes from another process than m:
+// m is alive at another slot, and this process has heard it there within Config.UnreachableAfter.
 func (c *Core) nameInUse(m *member, slot int, incarnation Incarnation, now Time) bool {
 	elsewhere := m.Slot >= 0 && m.Slot != slot && incarnation.Start() != m.Incarnation.Start()
 	return elsewhere && now-m.HeardHere < c.cfg.UnreachableAfter && m.State == Alive
--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -61,7 +61,7 @@
 // runs a phi-accrual failure detector (Hayashibara), with phi 8 over a window of 100 intervals. The
 // parameters are those of Measure.
 func Heartbeats(n int, loss float64, duration Time, seed uint64) Cost {
-	r := rand.New(rand.NewPCG(seed, 13))
+	r := rand.New(rand.NewPCG(seed, 13)) // the second seed is arbitrary but fixed
 	links := min(n*(n-1), maxLinks)
 	alarms := 0
 	var delays []Time
@@ -104,7 +104,7 @@
 // all members on each change of the view (Rapid): ten observers probe a member once a second, and nine of
 // them must have missed three consecutive answers. The parameters are those of Measure.
 func Observers(n int, loss float64, duration Time, seed uint64) Cost {
-	r := rand.New(rand.NewPCG(seed, 17))
+	r := rand.New(rand.NewPCG(seed, 17)) // the second seed is arbitrary but fixed
 	observers := min(observersPerMember, n-1)
 	required := max(1, observers-1)
 	lost := 1 - (1-loss)*(1-loss) // probability that the probe or its answer is lost
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -12,8 +12,8 @@
 // Node is one process of the fleet.
 type Node struct {
 	Core      *membership.Core
-	Running   bool
-	Paused    bool
+	Running   bool // whether it was started and has not ended; it may be paused
+	Paused    bool // whether it takes no turns and queues the datagrams that arrive
 	Deaf      bool // whether it receives no datagrams
 	Mute      bool // whether all datagrams that it sends are lost
 	Slow      bool // whether it skips every second turn, in which it would call Core.Tick
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -63,7 +63,7 @@
 // RandomPlan returns a random plan of one to six faults for a fleet of n processes. All faults end within
 // 26.1 s.
 func RandomPlan(n int, seed uint64) []Fault {
-	r := rand.New(rand.NewPCG(seed, 11))
+	r := rand.New(rand.NewPCG(seed, 11)) // the second seed is arbitrary but fixed
 	plan := make([]Fault, 1+r.IntN(6))
 	for i := range plan {
 		plan[i] = Fault{
--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -5,8 +5,8 @@
 // Candidate is a process that could own jobs, as known to the coordinator.
 type Candidate struct {
 	Name        string                // member name
-	Incarnation uint64                // start time of the process, which distinguishes it from others of the name
-	Eligible    bool                  // not leaving, its lease has not ended, and its replica's store can be used
+	Incarnation uint64                // distinguishes the process from others of this name
+	Eligible    bool                  // whether it is not leaving, its lease has not ended, and its replica's store can be used
 	UnheardBy   int                   // number of members that have not left and do not hear it; lower is better
 	EligibleFor Time                  // how long it has been eligible without interruption
 	Offers      func(job string) bool // reports whether the process can own a job
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -25,7 +25,7 @@
 
 	epoch             uint64 // 0 if this process does not lead
 	epochStartedAt    Time
-	tableEmptyAtStart bool // the table was empty at the start of the epoch
+	tableEmptyAtStart bool // whether the table was empty at the start of the epoch
 	sessions          sessions
 	proposals         proposals
 	confirmation      leadershipConfirmation
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -12,7 +12,7 @@
 	Name        string         // member name
 	Incarnation uint64         // of the process, 1 or more; the owner agent passes its start time in Unix milliseconds
 	Voters      []string       // names of the members that replicate the table and may lead their group
-	Jobs        []string       // jobs that this process can own
+	Jobs        []string       // names of the jobs that this process can own
 	Lease       Time           // how long an owner continues without the coordinator; zero or less means 2 s
 	WallClock   func() int64   // returns the wall clock in Unix milliseconds; if nil, it is always 0
 	Faults      FaultInjection // set only by simulations and experiments
@@ -81,7 +81,7 @@
 	effects Effects
 	group   Group // nil if this process is not a voter
 	table   *Table
-	self    uint32   // peer number of this process
+	self    uint32   // peer number of this process, by which messages are addressed
 	now     Time     // latest time that the caller has passed in
 	toSelf  [][]byte // messages of this process to itself, delivered after the current step
 }
@@ -109,7 +109,7 @@
 	fence       *Fence
 	participant *participant
 	coordinator *coordinator
-	delivering  bool // deliverToSelf is running
+	delivering  bool // whether deliverToSelf is running
 }
 
 // New returns the Core of a process. table is the state machine that group replicates. group is nil
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -57,8 +57,8 @@
 func (worldEffects) Confirmed(uint64)             {}
 func (worldEffects) LogEvent(string, ...any)      {}
 
-// newVoter returns a new process of the voter with a number, which starts at now on its own clock, with f
-// injected.
+// newVoter returns a new process of the voter with the number voter. The process starts at now on its own
+// clock, with f injected.
 func (w *world) newVoter(voter int, now Time, f FaultInjection) *Quorum {
 	cfg := QuorumConfig{Group: "g", Name: voterNames[voter], Voters: voterNames, Lease: quorumLease, WallClockAtStart: now / (10 * ms), Faults: f}
 	q, err := NewQuorum(cfg, map[byte]group.Machine{}, worldEffects{w, voter})
--- a/internal/fleet/ownership/kinds.go
+++ b/internal/fleet/ownership/kinds.go
@@ -117,7 +117,7 @@
 // String returns the kind's name.
 func (k commandKind) String() string { return kindName(commandKindNames, k) }
 
-// kindName returns the name of a kind, or its number if it is unknown.
+// kindName returns the name of a kind, or "kind_" with its number if the kind is not in names.
 func kindName[K ~uint64](names map[K]string, kind K) string {
 	if name, known := names[kind]; known {
 		return name
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -9,7 +9,7 @@
 type leaseRequest struct {
 	sender       processID
 	sequence     uint64 // rises with each request of the sender
-	eligible     bool   // the sender may be assigned jobs
+	eligible     bool   // whether the sender may be assigned jobs
 	epoch        uint64 // of the latest coordinator that sent the sender a lease or a job list
 	listSequence uint64 // of the last job list that the sender accepted in that epoch; 0 if none
 }
@@ -47,7 +47,7 @@
 	job              string
 	token            uint64 // of the grant
 	checkpointNumber uint64 // 0 if there is no checkpoint
-	handover         bool   // the job is to be released for another process
+	handover         bool   // whether the process must release the job for another one
 	checkpoint       []byte
 }
 
@@ -55,7 +55,7 @@
 // the job list no longer contains the job.
 type jobReleased struct {
 	sender           processID
-	eligible         bool // the sender may be assigned jobs
+	eligible         bool // whether the sender may be assigned jobs
 	job              string
 	token            uint64
 	higherToken      uint64 // token above the sender's own, under which a receiver has accepted an effect; 0 if none is known
@@ -77,7 +77,7 @@
 	job              string
 	token            uint64
 	checkpointNumber uint64
-	stored           bool
+	stored           bool // false if a later checkpoint was stored, or the sender does not own the job under the token
 }
 
 // effectMessage carries an effect, by which the owner of a job changes the receiving process.
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -6,10 +6,10 @@
 //   - Lease: an owner stops by itself before the coordinator considers its lease expired. The owner
 //     shortens the lease and the coordinator lengthens it, by more than their clocks can drift apart.
 //     The lease alone is not enough: an owner may be paused between checking it and acting.
-//   - Fencing: every receiver remembers the highest token of each job (Fence) and rejects effects,
-//     the messages by which an owner changes it, with lower tokens, so that a stale owner changes nothing once the receiver has accepted an
-//     effect of a later owner. The memory lasts as long as the receiver's process: a new process
-//     starts with an empty Fence. Replies to queries carry no token. They are safe because
+//   - Fencing: every receiver remembers the highest token of each job (Fence). An effect is a
+//     message by which an owner changes a receiver. Effects with lower tokens are rejected, so that a
+//     stale owner changes nothing once the receiver has accepted an effect of a later owner. The
+//     memory lasts as long as the receiver's process: a new process starts with an empty Fence. Replies to queries carry no token. They are safe because
 //     receivers limit their lifetime, counted from the query (leases of rules, grants of quota,
 //     permits for migrations).
 //
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -29,7 +29,7 @@
 	epoch        uint64               // in which the latest coordinator that sent a lease or a job list leads
 	listSequence uint64               // of the last job list accepted in that epoch; 0 if none was
 	eligible     bool                 // whether this process may be assigned jobs; set by Core.SetEligible
-	leaving      bool                 // Core.Leave was called
+	leaving      bool                 // whether Core.Leave was called
 }
 
 func newParticipant(env *environment) *participant {
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -70,7 +70,7 @@
 		cfg:           cfg,
 		effects:       effects,
 		machines:      group.NewMachines(machines),
-		rng:           rand.New(rand.NewPCG(cfg.Seed, 5)),
+		rng:           rand.New(rand.NewPCG(cfg.Seed, 5)), // the second seed is arbitrary but fixed
 		self:          peerOf(cfg.Name),
 		startedAt:     -1,
 		ballotCounter: uint64(cfg.WallClockAtStart),
@@ -132,8 +132,8 @@
 	}
 }
 
-// Tick must be called every 50 to 100 ms. It ends the leadership with its lease, renews the lease, and
-// begins or continues an election.
+// Tick must be called every 50 to 100 ms. It ends the leadership if its lease has ended, renews the
+// lease of a leader, and otherwise begins or continues an election.
 func (q *Quorum) Tick(now Time) {
 	q.now = max(q.now, now)
 	if q.startedAt < 0 {
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -132,11 +132,11 @@
 	q.send(latestVoter, stateRequest{ballot: q.candidate.ballot})
 }
 
-// mayBeginIncomplete reports whether an epoch may begin although no majority of voters with state
-// has promised. promised is the number of all voters that have promised. A majority had everything that was committed, but voters that have lost their
-// memory since do not count. So the candidate waits until all voters have promised, or for the time
-// that incompleteAfterLeases and promisesDivisor set. The epoch may lack committed commands, so
-// becomeLeader marks the machines (Table.MarkUncertain).
+// mayBeginIncomplete reports whether an epoch may begin although no majority of voters with state has
+// promised. promised is the number of all voters that have promised. A majority had everything that was
+// committed, but voters that have lost their memory since do not count. So the candidate waits until
+// all voters have promised, or for the time that incompleteAfterLeases and promisesDivisor set. The
+// epoch may lack committed commands, so becomeLeader marks the machines (Table.MarkUncertain).
 func (q *Quorum) mayBeginIncomplete(promised int) bool {
 	if promised >= len(q.cfg.Voters) {
 		return true
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -15,8 +15,9 @@
 	return now >= v.grantEnd || v.grantee == candidate
 }
 
-// abstains reports whether this voter must not take part yet: until a lease's length after its start,
-// an earlier process of this voter may have granted a lease that lasts and that it does not know of.
+// abstains reports whether this voter must not take part yet. Until the length of a lease (leaseAtGrantor)
+// after its start, an earlier process of this voter may have granted a lease that still lasts and that this
+// process does not know of.
 func (q *Quorum) abstains() bool {
 	return q.startedAt < 0 || !q.cfg.Faults.SkipAbstention && q.now < q.startedAt+leaseAtGrantor(q.cfg.Lease)
 }
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -13,9 +13,8 @@
 )
 
 // logPosition is a position in the order of all commands. epoch is that of the leader, the ballot with
-// which it was elected. version is the number of entries in the
-// epoch's log up to this position, and 0 for the state with which the epoch began. It is not
-// Table.Version.
+// which it was elected. version is the number of entries in the epoch's log up to this position, and 0
+// for the state with which the epoch began. It is not Table.Version.
 type logPosition struct{ epoch, version uint64 }
 
 // before reports whether p is before other.
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -3,8 +3,9 @@
 import "fmt"
 
 // StoreCheckpoint asks the coordinator to store a checkpoint of a job, the state from which the next
-// owner continues. It returns ErrCheckpointTooLarge or ErrNotOwner, wrapped, without asking it. Effects.CheckpointStored
-// reports the result. If no report arrives, the checkpoint may or may not have been stored.
+// owner continues. It returns ErrCheckpointTooLarge or ErrNotOwner, wrapped, if it does not ask.
+// Effects.CheckpointStored reports the result. If no report arrives, the checkpoint may or may not have
+// been stored.
 func (c *Core) StoreCheckpoint(now Time, job string, token, checkpointNumber uint64, checkpoint []byte) error {
 	c.advance(now)
 	defer c.deliverToSelf()
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -51,9 +51,8 @@
 	return last
 }
 
-// handleLeaseRequest records the sender's session and queues the request until the voters have confirmed
-// that this process leads. A
-// voter that does not lead redirects the sender to the leader.
+// handleLeaseRequest records the sender's session and queues the request until the voters have
+// confirmed that this process leads. A voter that does not lead redirects the sender to the leader.
 func (c *coordinator) handleLeaseRequest(from uint32, m leaseRequest) {
 	if !c.leads() {
 		if c.group != nil {
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -118,7 +118,8 @@
 }
 
 // checkSettled checks what must hold at the end of a run: each job has had an owner within the last
-// maxFinalOwnerGap. It checks nothing if no majority of the voters with disks takes part, since only operators can repair that.
+// maxFinalOwnerGap. It checks nothing if no majority of the voters with disks takes part, since only
+// operators can repair that.
 func (r *Run) checkSettled() {
 	if r.cfg.Disks && 2*(r.cfg.Voters-r.lostVoters()) <= r.cfg.Voters {
 		return
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -20,7 +20,7 @@
 // envelope is a message in flight.
 type envelope struct {
 	sender, receiver int  // indexes of processes
-	group            bool // the message is between voters of the group; otherwise between Cores
+	group            bool // whether the message is between voters of the group; otherwise it is between Cores
 	data             []byte
 	deliverAt        Time
 	sequence         int // orders messages that are due at the same time
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -22,7 +22,7 @@
 
 	// State of the present incarnation.
 	incarnation uint64
-	running     bool
+	running     bool // whether the process is running, possibly paused
 	core        *ownership.Core
 	group       ownership.Group // nil if the process is not a voter or could not open its disk
 	raft        *consensus.Core // the same group as a consensus.Core if it has a disk; otherwise nil
@@ -86,7 +86,7 @@
 	p.nextTickAt = r.now + r.rng.Int64N(tickInterval)
 }
 
-// jobName returns the name of the job with an index.
+// jobName returns the name of the job with index i.
 func jobName(i int) string { return fmt.Sprintf("job%d", i) }
 
 // voterNames returns the names of the voters, which are the first processes.
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -37,10 +37,10 @@
 // Config configures a run.
 type Config struct {
 	Processes, Voters, Jobs int    // numbers of each; the first processes are the voters
-	Disks                   bool   // voters keep their state on disk (package consensus); otherwise in memory (ownership.Quorum)
+	Disks                   bool   // whether voters keep their state on disk (package consensus); otherwise in memory (ownership.Quorum)
 	Seed                    uint64 // determines the whole run
 	FaultPeriod             Time   // the time from the start in which faults begin; zero or less means 30 s
-	NoFaults                bool   // do not plan any faults
+	NoFaults                bool   // whether to plan no faults
 	// ProgramFaults are injected into the program. The checks must detect them.
 	ProgramFaults ownership.FaultInjection
 	// SkipSync makes disks lose data in a crash that they have acknowledged as synced. The checks must
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -20,9 +20,9 @@
 	return c.step(from, m)
 }
 
-// deliverToSelf handles the messages that this process has sent to itself, and those that it sends
-// to itself meanwhile. Every exported method
-// that may send such a message calls it when it returns.
+// deliverToSelf handles the messages that this process has sent to itself, and those that it sends to
+// itself meanwhile. A call during another one does nothing. Every exported method that may send such a
+// message calls it when it returns.
 func (c *Core) deliverToSelf() {
 	if c.delivering {
 		return
