--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -184,7 +184,7 @@
 	if !d.fits(unheardHeaderLength) {
 		return
 	}
-	n := min(len(ids), 255, (d.limit-d.length-unheardHeaderLength)/4)
+	n := min(len(ids), 255, (d.limit-d.length-unheardHeaderLength)/4) // an ID has 4 bytes
 	p := d.appendPart(partUnheard, unheardHeaderLength+4*n)
 	p[1] = byte(n)
 	for i, id := range ids[:n] {
--- a/internal/fleet/membership/seal.go
+++ b/internal/fleet/membership/seal.go
@@ -114,7 +114,7 @@
 // accept records a sequence number. It returns false if the number has arrived before or is below the window.
 func (w *window) accept(sequence uint32) bool {
 	if sequence > w.highest {
-		w.received = w.received<<min(replayWindow, sequence-w.highest) | 1
+		w.received = w.received<<min(replayWindow, sequence-w.highest) | 1 // a shift by 64 clears all bits
 		w.highest = sequence
 		return true
 	}
--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -69,7 +69,7 @@
 		var link arrivalHistory
 		now := 0.0
 		for now < float64(duration)/1e9 {
-			now += float64(heartbeatInterval) / 1e9
+			now += float64(heartbeatInterval) / 1e9 // in seconds
 			if r.Float64() < loss {
 				continue
 			}
@@ -86,8 +86,8 @@
 	return Cost{
 		Messages:      messages,
 		Bytes:         messages * heartbeatBytes,
-		DetectionTime: delays[(99*len(delays)-1)/100], // the 99th percentile
-		FalseAlarms:   float64(alarms) / float64(links) * float64(n*(n-1)) * 3600e9 / float64(duration),
+		DetectionTime: delays[(99*len(delays)-1)/100],                                                   // the 99th percentile
+		FalseAlarms:   float64(alarms) / float64(links) * float64(n*(n-1)) * 3600e9 / float64(duration), // of all links, per hour
 	}
 }
 
@@ -128,8 +128,8 @@
 	return Cost{
 		Messages:      2 * float64(observers),
 		Bytes:         2 * float64(observers) * heartbeatBytes,
-		DetectionTime: delays[989], // the 99th percentile of simulatedDeaths
-		FalseAlarms:   float64(alarms) / float64(members) * float64(n) * 3600e9 / float64(duration),
+		DetectionTime: delays[989],                                                                  // the 99th percentile of simulatedDeaths
+		FalseAlarms:   float64(alarms) / float64(members) * float64(n) * 3600e9 / float64(duration), // about all members, per hour
 	}
 }
 
@@ -137,8 +137,8 @@
 // lost is the probability that a probe or its answer is lost.
 func observerAlarms(r *rand.Rand, lost float64, observers, rounds int) (alarms int) {
 	required := max(1, observers-1)
-	missed := make([]int, observers)
-	alarmed := false
+	missed := make([]int, observers) // consecutive missed answers, by observer
+	alarmed := false                 // whether the last round ended with an alarm
 	for range rounds {
 		agreeing := 0
 		for i := range missed {
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -21,7 +21,7 @@
 // observation collects the conclusions of the processes of a run.
 type observation struct {
 	diedAt        Time         // when the victim died; zero while it is alive
-	alarms        map[int]bool // IDs of living members that some process saw as unreachable or gone
+	alarms        map[int]bool // member IDs of living members that some process saw as unreachable or gone
 	detectedAfter map[int]Time // time from the death until a process saw the victim as unreachable or gone, by its number
 }
 
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -99,8 +99,7 @@
 	}
 }
 
-// checkNotGone records a violation if a process that runs, is not paused and receives datagrams sees one of
-// processes, given by their numbers, as gone.
+// checkNotGone records a violation if an awake process that receives datagrams sees one of processes as gone.
 func (f *Fleet) checkNotGone(processes []int) {
 	for i, n := range f.Nodes {
 		for _, j := range processes {
@@ -162,8 +161,7 @@
 	}
 }
 
-// TestLeftIsNotUnreachable checks that a process that shut down gracefully is seen as left, and a killed one
-// as unreachable.
+// TestLeftIsNotUnreachable checks that a graceful shutdown is seen as left, and a death as unreachable.
 func TestLeftIsNotUnreachable(t *testing.T) {
 	f := New(5, 4, membership.Config{})
 	f.Schedule(5*Sec, func() { f.Leave(1) })
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -153,7 +153,7 @@
 // RunRandomPlan runs a random plan and returns the violated invariant, or a description of views that do
 // not agree in time. It returns "" if there is neither. baseConfig is that of New.
 func RunRandomPlan(seed uint64, baseConfig membership.Config) (plan []Fault, violation string) {
-	n := 3 + int(seed%6)
+	n := 3 + int(seed%6) // number of processes, 3 to 8
 	plan = RandomPlan(n, seed)
 	f := New(n, seed, baseConfig)
 	endMS := f.Apply(plan)
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// handleStoreCheckpoint proposes to store a checkpoint. checkpointCommand.apply checks that the job
-// is still owned under the token.
+// handleStoreCheckpoint proposes to store a checkpoint, if this process leads. When the command is
+// applied, checkpointCommand.apply checks that the job is still owned under the token.
 func (c *coordinator) handleStoreCheckpoint(from uint32, m storeCheckpoint) {
 	if !c.leads() {
 		return
@@ -180,7 +180,8 @@
 	return ""
 }
 
-// forwardQuery forwards a query to the job's owner if that is another process.
+// forwardQuery forwards a query to the job's owner. It drops the query if this process does not lead, the
+// job has no owner, or this member is the owner.
 func (c *coordinator) forwardQuery(m queryMessage) {
 	row := c.table.Job(m.job)
 	if c.leads() && row != nil && row.Owner != "" && row.Owner != c.cfg.Name {
@@ -198,7 +199,7 @@
 // sendJobList sends a process the list of the jobs that it is to own if the table has changed since
 // the last list, or if the process seems not to have received that list.
 func (c *coordinator) sendJobList(s *session) {
-	current := c.table.Version + 1
+	current := c.table.Version + 1 // not 0: a listSentVersion of 0 means that a list must be sent
 	if s.listSentVersion == current && (!s.lacksList || c.now-s.listSentAt < listRepeatInterval) {
 		return
 	}
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -77,7 +77,7 @@
 	job              string
 	token            uint64
 	checkpointNumber uint64
-	stored           bool // false if a later checkpoint was stored, or the sender does not own the job under the token
+	stored           bool // whether it was stored; false if the same or a later one already was, or the sender does not own the job under the token
 }
 
 // effectMessage carries an effect, by which the owner of a job changes the receiving process.
--- a/internal/fleet/ownership/quorummessages.go
+++ b/internal/fleet/ownership/quorummessages.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// maxSnapshotBytes bounds the snapshot of each machine, and of all machines together.
+// maxSnapshotBytes bounds the snapshot of each replicated state machine, and of all of them together.
 const maxSnapshotBytes = 1 << 18
 
 // quorumMessage is a message between voters of a group. decodeQuorumMessage is the inverse of encode.
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -121,7 +121,8 @@
 	return w.Data
 }
 
-// restoreState restores all machines from an encoded state, and reports whether it succeeded.
+// restoreState restores all machines from a state that encodeState returned, and reports whether it
+// succeeded.
 func restoreState(machines group.Machines, state []byte) bool {
 	r := encoding.Reader{Data: state}
 	return machines.RestoreSnapshots(&r, maxSnapshotBytes) == nil && r.Err() == nil
