--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -14,7 +14,8 @@
 }
 
 // checkInvariants checks the invariants of one process's view, the states of all members as it sees them:
-// the view's version never falls, no member returns to an earlier process under its name, and no member is gone that all others hear.
+// the view's version never falls, no member returns to an earlier process under its name, and no member is
+// gone that all others hear.
 func (n *Node) checkInvariants() {
 	f := n.fleet
 	if f.SkipChecks {
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -20,7 +20,7 @@
 	sequence      uint64 // of the request
 	incarnation   uint64 // of the requesting process
 	epoch         uint64 // in which the coordinator leads
-	requestsOffer bool   // whether the process must reply with a jobOffer: the coordinator does not know which jobs it can own
+	requestsOffer bool   // whether the process must send a jobOffer, since the coordinator has none of it
 }
 
 // leaderRedirect is the reply to a leaseRequest from a voter that does not lead.
@@ -72,12 +72,13 @@
 	checkpoint       []byte
 }
 
-// checkpointResult is the reply to storeCheckpoint.
+// checkpointResult is the reply to storeCheckpoint. The checkpoint is not stored if the same or a later one
+// already is, or if the sender does not own the job under the token.
 type checkpointResult struct {
 	job              string
 	token            uint64
 	checkpointNumber uint64
-	stored           bool // whether it was stored; false if the same or a later one already was, or the sender does not own the job under the token
+	stored           bool // whether the checkpoint was stored
 }
 
 // effectMessage carries an effect, by which the owner of a job changes the receiving process.
