--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -9,9 +9,9 @@
 //   - Fencing: every receiver remembers the highest token of each job (Fence). An effect is a
 //     message by which an owner changes a receiver. Effects with lower tokens are rejected, so that a
 //     stale owner changes nothing once the receiver has accepted an effect of a later owner. The
-//     memory lasts as long as the receiver's process: a new process starts with an empty Fence. Replies to queries carry no token. They are safe because
-//     receivers limit their lifetime, counted from the query (leases of rules, grants of quota,
-//     permits for migrations).
+//     memory lasts as long as the receiver's process: a new process starts with an empty Fence.
+//     Replies to queries carry no token. They are safe because receivers limit their lifetime,
+//     counted from the query (leases of rules, grants of quota, permits for migrations).
 //
 // The jobs with their owners and tokens form a Table, which a Group of voters replicates, either on
 // disk (package consensus) or in memory (Quorum). The process that leads the group is the
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -15,8 +15,8 @@
 // It guarantees:
 //   - No two voters lead at the same time, as long as clocks drift apart by no more than
 //     clockDriftDivisor allows.
-//   - Epochs, the ballots with which leaders were elected, rise as long as one voter of each majority keeps its
-//     memory.
+//   - Epochs, the ballots with which leaders were elected, rise as long as one voter of
+//     each majority keeps its memory.
 //   - Committed commands survive as long as no majority loses its memory at the same time.
 //
 // If all voters start at once, epochs still rise, unless a clock was set back by more than the time
@@ -46,7 +46,7 @@
 	Voters           []string       // member names, at most maxVoters, in the same order at all voters
 	Lease            Time           // length of the leader's lease; zero or less means 1.5 s; must be the same at all voters
 	Seed             uint64         // seed of the random delays before elections
-	WallClockAtStart int64          // wall clock in hundredths of a second, not negative; ballots and epochs start above it, so that they rise across restarts
+	WallClockAtStart int64          // wall clock in hundredths of a second, not negative; ballots and epochs start above it
 	Faults           FaultInjection // set only by simulations and experiments
 }
 
