--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -15,8 +15,8 @@
 // It guarantees:
 //   - No two voters lead at the same time, as long as clocks drift apart by no more than
 //     clockDriftDivisor allows.
-//   - Epochs, the ballots with which leaders were elected, rise as long as one voter of
-//     each majority keeps its memory.
+//   - Epochs, the ballots with which leaders were elected, and fencing tokens with them, rise as
+//     long as one voter of each majority keeps its memory.
 //   - Committed commands survive as long as no majority loses its memory at the same time.
 //
 // If all voters start at once, epochs still rise, unless a clock was set back by more than the time
