--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -14,7 +14,7 @@
 // maxNameBytes is the maximum length of the names of group and process.
 const maxNameBytes = 64
 
-// extent describes how much a file contains. See saveExtent.
+// extent describes how much a file contains, so that Load can detect missing records.
 type extent struct {
 	lastIndex uint64 // index of the last log entry; 0 if the log is empty
 	starts    uint64 // number of start records
@@ -31,9 +31,9 @@
 	return r.Err()
 }
 
-// Load reads all that is stored. It returns ErrUnreadable if the records are damaged or
-// inconsistent, or the decoder's error if a record with a valid checksum does not decode. After an
-// error every call that saves fails.
+// Load reads all that is stored. It returns an error that wraps ErrUnreadable if the records are
+// damaged or inconsistent, or the decoder's error if a record with a valid checksum does not
+// decode. After an error every later write returns the same error.
 func (s *Store) Load() (out consensus.StoredState, err error) {
 	// Load reads and checks all records itself. bbolt's own check can't be used: it runs in a
 	// separate goroutine, in which a fault ends the process.
@@ -65,8 +65,8 @@
 type loader struct {
 	state consensus.StoredState
 	meta  *bbolt.Bucket
-	// complete reports whether the file has an identity. A bootstrap stores the identity last, so
-	// that a file with an identity must have all other records.
+	// complete is true if the file has an identity. A new replica stores its identity last, so a
+	// file with an identity must have all other records.
 	complete bool
 	extent   extent
 }
@@ -85,8 +85,9 @@
 	return l.loadRecord(keySnapshot, l.state.Snapshot.Unmarshal)
 }
 
-// loadRecord reads a record of the bucket meta with decode. It returns ErrUnreadable if a complete
-// file lacks the record, and does nothing if an incomplete one does.
+// loadRecord reads a record of the bucket meta and passes its data to decode. If the record is
+// missing, it returns an error that wraps ErrUnreadable for a complete file, and nil for an
+// incomplete one.
 func (l *loader) loadRecord(key []byte, decode func([]byte) error) error {
 	stored := l.meta.Get(key)
 	if stored == nil && l.complete {
@@ -114,7 +115,8 @@
 	return r.Err()
 }
 
-// loadStarts reads the start records and checks their number against the extent.
+// loadStarts reads the start records of other replicas and, in a complete file, checks their number
+// against the extent.
 func (l *loader) loadStarts(b *bbolt.Bucket) error {
 	err := b.ForEach(func(key, stored []byte) error {
 		data, err := decodeRecord(key, stored)
@@ -134,7 +136,8 @@
 	return nil
 }
 
-// loadLog reads all entries and keeps those after the snapshot.
+// loadLog reads all entries and keeps those after the snapshot. It returns an error if their indexes
+// have gaps or, in a complete file, if checkLog returns one.
 func (l *loader) loadLog(b *bbolt.Bucket) error {
 	next := uint64(0) // expected index of the next entry; 0 before the first
 	err := b.ForEach(func(key, stored []byte) error {
--- a/internal/fleet/consensus/disk/store.go
+++ b/internal/fleet/consensus/disk/store.go
@@ -1,9 +1,10 @@
 // Package disk stores the log, votes and snapshots of a replica in one bbolt file. It defines the
 // format and the size limit of the file, and detects files that are truncated, damaged, full or in
-// use. It stores the identity by which consensus.Open rejects the file of another replica.
+// use. The file also contains the replica's identity (group, name and numeric ID), so that
+// consensus.Open can reject the file of another replica.
 //
-// Each call that saves is one transaction, which is synced before the call returns. Every record
-// has a checksum, and a record that does not match its checksum is never used.
+// Each write is one transaction, and is synced before the method returns. Every record has a
+// checksum, and a record that does not match its checksum is never used.
 package disk
 
 import (
@@ -20,16 +21,16 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// Names of buckets and keys. They are part of the file format.
+// Names of buckets and keys. They are part of the file format, so some differ from the Go names.
 var (
 	bucketMeta   = []byte("meta")
 	bucketLog    = []byte("log")  // entries by index
-	bucketStarts = []byte("seen") // start records of other replicas by identity
+	bucketStarts = []byte("seen") // consensus.StartRecord of other replicas by replica ID
 
 	keyIdentity  = []byte("identity")
 	keyHardState = []byte("hard")
 	keySnapshot  = []byte("snapshot")
-	keyExtent    = []byte("shape")
+	keyExtent    = []byte("shape") // number of stored records; see type extent
 )
 
 // Errors that Open and the methods of a Store return, wrapped with details.
@@ -39,7 +40,7 @@
 	// ErrInUse means that another process has the file open.
 	ErrInUse = errors.New("disk: the store is in use by another process")
 	// ErrFull means that the file is larger than the maxBytes passed to Open.
-	ErrFull = errors.New("disk: the store has reached its bound")
+	ErrFull = errors.New("disk: the store is larger than its size limit")
 )
 
 // Store is an open file. It implements consensus.Store.
@@ -47,11 +48,12 @@
 	database *bbolt.DB
 	path     string
 	maxBytes int64
-	failed   error // first error of a call that saves, or of Load; every later call that saves returns it
+	failed   error // first error of a write or of Load; every later write returns it
 }
 
-// update runs f in a transaction. It returns an error if a page of the memory map can't be read,
-// which otherwise would end the process with a fault. After an error all later calls fail.
+// update runs f in a write transaction and updates the extent. If a page of the memory map can't be
+// read, it returns an error; without SetPanicOnFault the fault would end the process. After an
+// error, every later call of update returns the same error.
 func (s *Store) update(f func(tx *bbolt.Tx) error) (err error) {
 	if s.failed != nil {
 		return s.failed
@@ -59,7 +61,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %s: %v", ErrUnreadable, s.path, p)
+			err = fmt.Errorf("%w: %v", ErrUnreadable, p)
 		}
 		if err != nil {
 			s.failed = fmt.Errorf("%s: %w", s.path, err)
@@ -68,7 +70,7 @@
 	}()
 	return s.database.Update(func(tx *bbolt.Tx) error {
 		if tx.Size() > s.maxBytes {
-			return fmt.Errorf("%w of %d bytes", ErrFull, s.maxBytes)
+			return fmt.Errorf("%w: %d bytes, the limit is %d", ErrFull, tx.Size(), s.maxBytes)
 		}
 		if err := f(tx); err != nil {
 			return err
@@ -77,10 +79,10 @@
 	})
 }
 
-// saveExtent stores the extent of the file. Without it a page that was replaced by an older one
-// with fewer records would not be detected, since all remaining records match their checksums. It
-// also creates the records of hard state and snapshot if they are missing, since loadRecord expects
-// them.
+// saveExtent stores the extent of the file: the index of the last log entry and the number of start
+// records. If a disk fault brings back an older page with fewer records, their checksums match, and
+// only the extent shows that records are missing. saveExtent also creates empty records of hard
+// state and snapshot if there are none, since Load rejects a complete file without them.
 func saveExtent(tx *bbolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	for _, key := range [][]byte{keyHardState, keySnapshot} {
@@ -110,7 +112,8 @@
 	})
 }
 
-// SaveStartRecord stores the last known start of another replica.
+// SaveStartRecord stores the last known start record (number of starts and incarnation) of the
+// replica with an ID.
 func (s *Store) SaveStartRecord(id uint64, start consensus.StartRecord) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		var w encoding.Writer
--- a/internal/fleet/fragment/message.go
+++ b/internal/fleet/fragment/message.go
@@ -12,21 +12,23 @@
 	kindAck    = 2 // an acknowledgment of the pieces that have arrived
 )
 
-// Lengths of the headers, in bytes.
+// Lengths of the headers, in bytes: prefix, kind, and for pieces and acks the incarnation and
+// sequence of the message; for pieces also the index and the number of pieces.
 const (
 	singleHeader = 1 + 1
 	pieceHeader  = 1 + 1 + 4 + 4 + 2 + 2
 	ackHeader    = 1 + 1 + 4 + 4
 )
 
-// messageID identifies a long message among the messages of one sender.
+// messageID identifies a message of several pieces among the messages of one sender. The
+// incarnation distinguishes the sending process from earlier ones at the same address.
 type messageID struct{ incarnation, sequence uint32 }
 
 // piece is one part of a long message.
 type piece struct {
 	message      messageID
 	index, count int
-	body         []byte // of the same length in all pieces but the last
+	body         []byte // as long in all pieces but the last, which may be shorter
 }
 
 // append appends the datagram with the piece to b.
@@ -39,8 +41,8 @@
 	return append(b, p.body...)
 }
 
-// decodePiece decodes a piece. It returns false if the piece is malformed or its message is too
-// long.
+// decodePiece decodes a piece. It returns false if the piece is malformed or its message is longer
+// than 2*MaxMessageBytes; handlePiece checks the exact limit.
 func decodePiece(data []byte) (piece, bool) {
 	if len(data) <= pieceHeader {
 		return piece{}, false
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// incoming is a long message of which some pieces have arrived.
+// incoming is a message of several pieces, of which some have arrived.
 type incoming struct {
 	message        messageID
 	data           []byte // pieces at their offsets; those that are missing are zero
@@ -22,8 +22,8 @@
 	}
 }
 
-// add stores a piece. It returns false if the piece has another count or length than the earlier
-// ones.
+// add stores a piece. It returns false if the piece's count of pieces or its length does not match
+// that of the first piece that arrived.
 func (m *incoming) add(p piece) bool {
 	if len(m.received) != p.count || !p.isLast() && len(p.body) != m.pieceBytes || len(p.body) > m.pieceBytes {
 		return false
@@ -40,8 +40,9 @@
 	return true
 }
 
-// handlePiece adds a piece to its message and delivers the message once it is complete. It returns
-// false if the piece is malformed.
+// handlePiece adds a piece to its message, and delivers the message once it is complete. It
+// acknowledges after every piecesPerBurst/2 pieces, the last piece and the complete message. It
+// returns false if the piece is malformed.
 func (t *Transport) handlePiece(from uint32, part piece) bool {
 	p := t.peer(from)
 	if slices.Contains(p.completed, part.message) {
@@ -93,8 +94,9 @@
 	p.incoming = append(p.incoming, m)
 }
 
-// markComplete moves a message from the incomplete messages to the completed IDs, so that
-// retransmitted pieces are acknowledged and the message is not delivered twice.
+// markComplete removes a message from the incomplete ones and remembers its ID, so that
+// retransmitted pieces are acknowledged and the message is not delivered twice. Only the last
+// maxCompleted IDs are remembered.
 func (p *peerState) markComplete(m *incoming) {
 	if i := slices.Index(p.incoming, m); i >= 0 {
 		p.incoming = append(p.incoming[:i:i], p.incoming[i+1:]...)
@@ -105,7 +107,8 @@
 }
 
 // sendAck acknowledges the pieces of a message that have arrived; a nil received acknowledges all.
-// Pieces whose bits do not fit the datagram are retransmitted needlessly.
+// If the bits do not all fit one datagram, the pieces of the missing bits count as not acknowledged
+// and are retransmitted.
 func (t *Transport) sendAck(to uint32, id messageID, received []bool) {
 	bits := newBitmap(received)
 	t.buffer = ack{id, bits[:min(len(bits), t.pieceBytes)]}.append(t.buffer[:0])
--- a/internal/fleet/fragment/send.go
+++ b/internal/fleet/fragment/send.go
@@ -2,21 +2,23 @@
 
 import "slices"
 
-// outgoing is a long message that is not acknowledged yet.
+// outgoing is a long message, which does not fit one datagram, that is not fully acknowledged yet.
 type outgoing struct {
-	sequence uint32
+	sequence uint32 // number among the long messages of this process
 	data     []byte
 	acked    []bool // by index of the piece
 	unacked  int    // number of pieces that are not acknowledged
-	next     int    // pieces visited over all rounds; modulo the number of pieces, the index of the next one
+	next     int    // number of pieces sent or skipped so far; the next piece has index next % len(acked)
 	sentAt   Time   // time of the last burst
 	giveUpAt Time   // when the message is abandoned
 }
 
-// Send sends a message to a peer. It returns ErrMessageTooLong if data is longer than
-// MaxMessageBytes.
+// Send sends a message to a peer. A message that fits one datagram is sent once and is not
+// acknowledged. A longer one is retransmitted until it is acknowledged or GiveUpAfter has passed; it
+// displaces the oldest of maxOutgoing unacknowledged messages to the peer. Send returns
+// ErrMessageTooLong if data is longer than MaxMessageBytes.
 func (t *Transport) Send(now Time, to uint32, data []byte) error {
-	if len(data) <= t.pieceBytes+pieceHeader-singleHeader {
+	if len(data) <= t.pieceBytes+pieceHeader-singleHeader { // fits one datagram, whose header is shorter than that of a piece
 		t.buffer = append(t.buffer[:0], DatagramPrefix, kindSingle)
 		t.effects.SendDatagram(to, append(t.buffer, data...))
 		return nil
@@ -43,7 +45,8 @@
 	return nil
 }
 
-// sendBurst sends the next unacknowledged pieces of a message, at most piecesPerBurst.
+// sendBurst sends the next unacknowledged pieces of a message, at most piecesPerBurst. After the
+// last piece it continues with the first one.
 func (t *Transport) sendBurst(now Time, to uint32, o *outgoing) {
 	o.sentAt = now
 	count := len(o.acked)
@@ -73,14 +76,14 @@
 	}
 	o := p.outgoing[i]
 	o.acknowledge(a.bitmap)
-	if len(a.bitmap) == 0 || o.unacked == 0 {
+	if len(a.bitmap) == 0 || o.unacked == 0 { // an empty bitmap acknowledges all pieces
 		p.outgoing = append(p.outgoing[:i:i], p.outgoing[i+1:]...)
 	} else if o.next < 2*len(o.acked) {
-		t.sendBurst(now, from, o) // acks pace the first round of sending; Tick paces retransmissions
+		t.sendBurst(now, from, o) // each ack triggers a burst until every piece was visited twice; after that only Tick sends
 	}
 }
 
-// acknowledge records the pieces whose bits are set as acknowledged.
+// acknowledge marks the pieces whose bits are set in received as acknowledged.
 func (o *outgoing) acknowledge(received bitmap) {
 	for i := range o.acked {
 		if !o.acked[i] && received.isSet(i) {
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// The limits that a request can exceed, as commands and the log name them.
+// Names of the limits that a request can exceed, as commands and the log print them.
 const (
 	RateLimit       = "rate"
 	ConnectionLimit = "standing"
 )
 
 const (
-	maxGrantWait        = 100 * Time(time.Millisecond) // time that a request waits for a grant
+	maxGrantWait        = 100 * Time(time.Millisecond) // maximum time that a request waits for a grant
 	urgentQueryInterval = 20 * Time(time.Millisecond)  // minimum time from a query to the next urgent query, per shard
-	maxWaitingRequests  = 1024                         // requests that wait for a grant at the same time
+	maxWaitingRequests  = 1024                         // requests that wait for a grant at the same time; further ones are rejected at once
 )
 
-// Client decides how many connections of each account one proxy may open. It is safe for concurrent
-// use once its exported fields are set.
+// Client decides how many connections of each account one proxy may open. The accounts are
+// distributed over Shards shards. One proxy of the fleet is the issuer of a shard; it grants a
+// proxy permits, for one new connection each, and a number of open connections. A Client is safe
+// for concurrent use once its exported fields are set.
 type Client struct {
 	Now           func() Time
-	GrantLifetime Time
-	FleetSize     int // number of proxies; without replies from the issuer, each uses an equal part of a limit
+	GrantLifetime Time // nanoseconds from the query to the end of the grants in its reply
+	FleetSize     int  // number of proxies; without replies from the issuer, each uses an equal part of a limit, its own share
 	Limits        Limits
 	// SendQuery sends a query to a shard's issuer. The reply is passed to ReplyReceived with the
 	// same tag.
@@ -31,8 +33,8 @@
 	LimitedAccounts func() []string
 
 	mutex   sync.Mutex
-	usage   map[string]*accountUsage
-	waiting []waitingRequest
+	usage   map[string]*accountUsage // by account
+	waiting []waitingRequest         // oldest first
 	lastTag uint64
 	sentAt  map[uint64]Time // send times of unanswered queries, by tag
 	shards  [Shards]shardState
@@ -41,15 +43,15 @@
 // shardState holds what a client knows about a shard's issuer.
 type shardState struct {
 	nextUrgentQueryAt Time // urgent queries before this time are dropped
-	grantsLapseAt     Time // when the last of the issuer's grants lapses
+	grantsLapseAt     Time // when the last of the issuer's grants lapses; 0 if none was received
 }
 
 // waitingRequest is a request that waits for a grant.
 type waitingRequest struct {
 	account  string
-	jitter   float64 // 0 to 1; varies Retry-After between requests
-	deadline Time    // when the request is rejected if it has no grant
-	done     func(exceeded string, retryAfter time.Duration)
+	jitter   float64                                         // 0 to 1; varies Retry-After between requests
+	deadline Time                                            // when the request is rejected if it has no grant
+	done     func(exceeded string, retryAfter time.Duration) // as in Acquire
 }
 
 // usageOf returns the usage record of an account and creates it if there is none.
@@ -65,21 +67,22 @@
 	return u
 }
 
-// ownShareStart returns when this proxy starts to use its own share of an account. By then the
-// issuer has started to reserve the share for this proxy, however late the last grant arrived.
+// ownShareStart returns when this proxy starts to use its own share of an account:
+// silentAfterGrantLifetimes after the last grant lapses. By then the issuer has started to reserve
+// the share for this proxy, however late that grant arrived.
 func (c *Client) ownShareStart(account string) Time {
 	return c.shards[Shard(account)].grantsLapseAt + silentAfterGrantLifetimes*c.GrantLifetime
 }
 
-// usesOwnShare reports whether this proxy uses its own share of an account, because the issuer has
-// never replied, or not for too long.
+// usesOwnShare reports whether this proxy uses its own share of an account, because it has had no
+// valid grant of the issuer for silentAfterGrantLifetimes.
 func (c *Client) usesOwnShare(now Time, account string) bool { return now >= c.ownShareStart(account) }
 
-// Acquire reserves one more connection of an account. It calls done once, with the limit that the
-// request exceeds, or "" if the connection is reserved, and with the Retry-After of a rejected
-// request, which jitter (0 to 1) varies. If the issuer may have more to grant, Acquire queries it
-// at once. RetryWaiting then calls done when a reply grants the connection or maxGrantWait has
-// passed.
+// Acquire reserves one more connection of an account. It calls done exactly once: with "" if the
+// connection is reserved, or with the limit that the request exceeds and the Retry-After of the
+// rejected request. jitter (0 to 1) varies Retry-After. If a limit is used up but the issuer may
+// have more to grant, Acquire queries it at once and returns. RetryWaiting then calls done when a
+// reply grants the connection or maxGrantWait has passed.
 func (c *Client) Acquire(account string, jitter float64, done func(exceeded string, retryAfter time.Duration)) {
 	exceeded, retryAfter, waits := c.acquireOrWait(account, jitter, done)
 	if !waits {
@@ -89,8 +92,9 @@
 	c.query(Shard(account), true)
 }
 
-// acquireOrWait counts the demand and reserves a connection, or queues the request if the issuer
-// may have more to grant.
+// acquireOrWait counts the demand and tries to reserve a connection. waits reports whether it has
+// queued the request instead, because the issuer may have more to grant; the other results are then
+// not final.
 func (c *Client) acquireOrWait(account string, jitter float64, done func(string, time.Duration)) (exceeded string, retryAfter time.Duration, waits bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -121,8 +125,8 @@
 	retryAfter time.Duration
 }
 
-// retryWaiting removes the requests from the queue that are decided, and returns them with their
-// results.
+// retryWaiting removes the requests from the queue that now have a connection or must be rejected,
+// and returns them with their results.
 func (c *Client) retryWaiting() (outcomes []finishedWait) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -141,7 +145,8 @@
 }
 
 // tryAcquire reserves one connection of the account and of each account above it. If one of their
-// limits is used up, it returns that limit and reserves nothing.
+// limits is used up, it reserves nothing, and returns the limit's name and a Retry-After: 0.5 to 1.5
+// grant lifetimes for RateLimit, 1 to 3 for ConnectionLimit.
 func (c *Client) tryAcquire(now Time, account string, jitter float64) (exceeded string, retryAfter time.Duration) {
 	accounts := withAncestors(account)
 	for _, a := range accounts {
@@ -184,7 +189,8 @@
 	u.permits[0].count-- // hasPermit has removed empty and lapsed batches
 }
 
-// maxOpen returns how many connections of an account may be open at this proxy.
+// maxOpen returns how many connections of an account may be open at this proxy: the issuer's grant
+// while it is valid, otherwise the proxy's own share.
 func (c *Client) maxOpen(now Time, account string, u *accountUsage, limit int) int {
 	if !c.usesOwnShare(now, account) && now < u.maxOpenUntil {
 		return u.maxOpen
@@ -199,7 +205,8 @@
 // Release records that a connection of an account has closed.
 func (c *Client) Release(account string) { c.adjustOpen(account, -1) }
 
-// adjustOpen adds n to the open connections of the account and of each account above it.
+// adjustOpen adds n, which may be negative, to the open connections of the account and of each
+// account above it. The numbers do not go below 0.
 func (c *Client) adjustOpen(account string, n int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	silentAfterGrantLifetimes    = 2                         // a proxy that has sent no query for this many grant lifetimes counts as silent
+	silentAfterGrantLifetimes    = 2                         // a proxy that has sent no query for this many grant lifetimes is silent: it may use its own share
 	forgottenAfterGrantLifetimes = 4                         // a proxy that has left the fleet is forgotten this many grant lifetimes after its last query
-	maxIdleAccounts              = 4 * maxAccountsPerMessage // records of accounts; at this number those of accounts without limits are dropped
+	maxIdleAccounts              = 4 * maxAccountsPerMessage // once there are this many account records, those of accounts without limits are dropped
 )
 
 // Issuer grants the limits of one shard's accounts to the proxies. It runs at the owner of the
 // shard's job. Grants are kept in memory only: a successor waits until all of them have lapsed.
 type Issuer struct {
-	GrantLifetime Time // counted from the reply here and from the query at the proxy, so a grant lapses there first
+	GrantLifetime Time // in nanoseconds; counted from the reply here and from the query at the proxy, so a grant lapses there first
 	FleetSize     int  // number of proxies; a share is the limit divided by it
 	Limits        Limits
 
-	owner            jobs.Owner // nil if this process does not own the job
-	firstGrantAt     Time       // nothing is granted before then, since grants of an earlier issuer may be valid
-	checkpointNumber uint64
-	lastQueryAt      map[uint32]Time // by proxy
+	owner            jobs.Owner      // nil if this process does not own the job
+	firstGrantAt     Time            // nothing is granted before then, since grants of an earlier issuer may be valid
+	checkpointNumber uint64          // of the last checkpoint
+	lastQueryAt      map[uint32]Time // by peer ID of the proxy
 	accounts         map[string]*issuedAccount
 }
 
@@ -30,7 +30,7 @@
 // issuedAccount holds what the issuer has granted of one account.
 type issuedAccount struct {
 	permits     jobs.TokenBucket             // refilled at the account's rate
-	connections map[uint32][]connectionGrant // by proxy, oldest first
+	connections map[uint32][]connectionGrant // by peer ID of the proxy, oldest first
 }
 
 // connectionGrant is the number of connections that a proxy may have open until the grant lapses.
@@ -42,7 +42,7 @@
 
 // maxOpenAt returns the most connections that a proxy may have open now under any valid grant. The
 // last grant counts even after it has lapsed, because connections that were opened under it may
-// still be open.
+// still be open. It drops the other lapsed grants, and returns 0 if there are no grants.
 func (a *issuedAccount) maxOpenAt(now Time, proxy uint32) int {
 	all := a.connections[proxy]
 	if len(all) == 0 {
@@ -59,7 +59,8 @@
 	return maximum
 }
 
-// Start starts the issuer. It grants nothing until its predecessor's grants have lapsed.
+// Start starts the issuer. It grants nothing until the grants of the previous owner of the job have
+// lapsed. The checkpoint is ignored, since it is always empty.
 func (s *Issuer) Start(now Time, jobOwner jobs.Owner, _, checkpointNumber uint64, _ []byte) error {
 	s.owner, s.checkpointNumber, s.firstGrantAt = jobOwner, checkpointNumber, now+silentAfterGrantLifetimes*s.GrantLifetime
 	s.lastQueryAt, s.accounts = map[uint32]Time{}, map[string]*issuedAccount{}
@@ -86,7 +87,7 @@
 	return a
 }
 
-// forgetUnlimited drops the accounts without limits.
+// forgetUnlimited drops the records of accounts that have no limits in the active rules version.
 func (s *Issuer) forgetUnlimited() {
 	for name := range s.accounts {
 		if s.Limits(name) == (Limit{}) {
@@ -95,9 +96,10 @@
 	}
 }
 
-// availableConnections returns how many more connections can be granted. The share of a proxy that
-// never sent a query is reserved. A proxy that is silent (see silentAfterGrantLifetimes) keeps the
-// larger of its last grant and its share, because it uses its share from then on.
+// availableConnections returns how many more connections of an account can be granted; it is
+// negative if more are granted than limit. A proxy's share, an equal part of limit, is reserved for
+// each proxy that never sent a query. For a silent proxy (see silentAfterGrantLifetimes) the larger
+// of its last grant and its share is reserved, because it may use its share without a grant.
 func (s *Issuer) availableConnections(now Time, a *issuedAccount, limit int) int {
 	share := limit / max(1, s.FleetSize)
 	available := limit - max(0, s.FleetSize-len(s.lastQueryAt))*share
@@ -111,9 +113,10 @@
 	return available
 }
 
-// QueryReceived grants what a proxy demands, as far as the limits allow. Each account is decided
-// separately. A parent's limit still holds, because a connection needs a permit of every account
-// above its own and counts as open there.
+// QueryReceived grants what a proxy demands, as far as the limits allow, and replies to the query.
+// Malformed queries are ignored, and so are all queries while this process does not own the job.
+// Each account is decided separately. A parent's limit still holds, because a connection needs a
+// permit of every account above its own and counts as open there.
 func (s *Issuer) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	demands, err := decodeDemands(body)
 	if s.owner == nil || err != nil {
@@ -127,7 +130,8 @@
 	s.owner.Reply(from, tag, encodeGrants(grants))
 }
 
-// grantDemand decides the grant for one demand and records it.
+// grantDemand decides the grant for one demand and records it. Before firstGrantAt, or without a
+// limit, the grant has no permits, and its maxOpen is the number of connections that are open.
 func (s *Issuer) grantDemand(now Time, from uint32, d demand) grant {
 	limit, a := s.Limits(d.account), s.issuedAccountFor(now, d.account)
 	g := grant{account: d.account, maxOpen: d.open}
@@ -145,9 +149,10 @@
 	return g
 }
 
-// grantedConnections returns how many connections a proxy may have open if it may use up to
-// capacity. If the limit was reduced below the number of open connections, every proxy's grant
-// shrinks in proportion to its open connections: none is closed, and none that ends is replaced.
+// grantedConnections returns how many connections a proxy may have open if up to capacity of them
+// are available to it. If the limit was reduced below the number of open connections, every proxy's
+// grant shrinks in proportion to its open connections. No connection is closed, but one that ends
+// is not replaced.
 func grantedConnections(d demand, capacity, limit int) uint64 {
 	open := int(d.open)
 	if capacity < open {
@@ -156,8 +161,9 @@
 	return min(d.open+d.additional, uint64(capacity))
 }
 
-// Step forgets proxies that have left the fleet and sent no query for forgottenAfterGrantLifetimes,
-// since their connections have closed by then.
+// Step forgets proxies that have left the fleet and sent no query for forgottenAfterGrantLifetimes:
+// their connections have closed by then. Call it periodically; it does nothing while this process
+// does not own the job.
 func (s *Issuer) Step(now Time) {
 	if s.owner == nil {
 		return
--- a/internal/fleet/quota/message.go
+++ b/internal/fleet/quota/message.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxAccountsPerMessage = 512
-	maxAccountBytes       = 400 // five names of 64 bytes with separators, and room to spare
+	maxAccountsPerMessage = 512 // of a query or a reply
+	maxAccountBytes       = 400 // of an account's full name: five names of 64 bytes with separators, and a reserve
 )
 
 // demand is what a proxy reports about one account.
@@ -45,7 +45,8 @@
 	return demands, r.Err()
 }
 
-// encodeGrants encodes grants like demands, with 0 for open and maxOpen in place of additional.
+// encodeGrants encodes grants in the format of demands: open is 0, and maxOpen stands in the place of
+// additional.
 func encodeGrants(grants []grant) []byte {
 	var w encoding.Writer
 	w.Uint(uint64(len(grants)))
--- a/internal/fleet/quota/query.go
+++ b/internal/fleet/quota/query.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Step queries each shard's issuer with the demand of its accounts at this proxy. Call it several
-// times per grant lifetime. A proxy without demand sends queries as well, so that the issuer
-// reserves nothing for it.
+// Step queries each shard's issuer with the demand of its accounts at this proxy, and retries the
+// waiting requests. Call it several times per grant lifetime. A proxy without demand sends queries
+// as well: for a proxy without queries, the issuer would reserve a share.
 func (c *Client) Step() {
 	for shard := range Shards {
 		c.query(shard, false)
@@ -20,8 +20,9 @@
 	}
 }
 
-// startQuery returns the demands of a query and records its tag. It returns no demands if the query
-// is dropped or the shard has no limited accounts.
+// startQuery returns the tag and the demands of a query, at most maxAccountsPerMessage, and records
+// when it was sent. It returns no demands if the query is dropped or the shard has no limited
+// accounts.
 func (c *Client) startQuery(shard int, urgent bool) (tag uint64, demands []demand) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -45,7 +46,8 @@
 	return c.lastTag, demands
 }
 
-// dropLapsedQueries drops the tags of queries whose replies would come after the grants had lapsed.
+// dropLapsedQueries drops the tags of queries that were sent more than a grant lifetime ago. The
+// grants in a reply to such a query have already lapsed.
 func (c *Client) dropLapsedQueries(now Time) {
 	if c.sentAt == nil {
 		c.sentAt = map[uint64]Time{}
@@ -57,8 +59,8 @@
 	}
 }
 
-// forgetUnlimited drops accounts that the active rules version does not limit and that have no open
-// connections.
+// forgetUnlimited drops the usage of accounts that are not in the sorted list of limited accounts
+// and have no open connections.
 func (c *Client) forgetUnlimited(accounts []string) {
 	for a, u := range c.usage {
 		if _, limited := slices.BinarySearch(accounts, a); !limited && u.open == 0 {
--- a/internal/fleet/quota/usage.go
+++ b/internal/fleet/quota/usage.go
@@ -3,13 +3,13 @@
 // accountUsage holds what this proxy uses of one account, and what it may use.
 type accountUsage struct {
 	permits      []permitBatch // oldest first
-	share        shareBucket   // permits while no issuer replies
+	share        shareBucket   // permits of the proxy's own share, while the issuer does not reply
 	open         int           // open connections
 	maxOpen      int           // open connections that the issuer grants until maxOpenUntil
 	maxOpenUntil Time
 
-	recentDemand   int // recent requests for a connection; halved once per grant lifetime
-	demandHalvedAt Time
+	recentDemand   int  // recent requests for a connection; halved at most once per grant lifetime
+	demandHalvedAt Time // last time at which recentDemand was halved
 }
 
 // permitBatch holds the permits of one grant. Each batch lapses separately: if a later grant
@@ -32,8 +32,8 @@
 	return n
 }
 
-// addDemand counts a request. The count is halved once per grant lifetime, so that it follows
-// recent demand.
+// addDemand counts a request in recentDemand. If more than a grant lifetime has passed since the
+// last halving, it halves recentDemand first, so that old requests lose weight.
 func (u *accountUsage) addDemand(now, lifetime Time) {
 	if now-u.demandHalvedAt > lifetime {
 		u.recentDemand, u.demandHalvedAt = u.recentDemand/2, now
@@ -41,7 +41,9 @@
 	u.recentDemand++
 }
 
-// demand returns what the next query reports about an account.
+// demand returns what the next query reports about an account. Recent demand becomes 0 if it has not
+// been halved for two grant lifetimes: no request has come for at least one. Permits are demanded
+// only if the valid ones do not cover the recent demand.
 func (u *accountUsage) demand(now, lifetime Time, account string, limit Limit) demand {
 	if now-u.demandHalvedAt > 2*lifetime {
 		u.recentDemand = 0
@@ -56,8 +58,8 @@
 	return d
 }
 
-// addGrant adds a grant that lapses at until. The number of open connections is ignored if a newer
-// grant has already arrived.
+// addGrant adds a grant that lapses at until. Its maxOpen is ignored if a grant that lapses later
+// has already arrived.
 func (u *accountUsage) addGrant(g grant, until Time) {
 	if g.permits > 0 {
 		u.permits = append(u.permits, permitBatch{int(g.permits), until})
@@ -74,11 +76,11 @@
 	filledAt Time
 }
 
-// fill adds the permits for the time since the last fill, but not for the time before from.
+// fill adds perSecond permits for each second since the last fill, without the time before from.
 func (b *shareBucket) fill(now, from Time, perSecond float64) {
 	b.tokens = min(1, b.tokens+perSecond*float64(now-max(b.filledAt, from))/float64(second))
 	b.filledAt = now
 }
 
-// empty removes the permits.
+// empty removes the permits; the next fill counts from now.
 func (b *shareBucket) empty(now Time) { b.tokens, b.filledAt = 0, now }
--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -16,8 +16,9 @@
 // not have the version any more.
 type versionByNumber func(number uint64) *Version
 
-// next returns a copy with the following number, to which changes may be applied without changing
-// v.
+// next returns a copy of v with v's number plus 1 and a directory that is not nil. Changes may be
+// applied to the copy without changing v. The copy has no previous assignment, so it is never a
+// transitional version.
 func (v *Version) next() *Version {
 	next := *v
 	next.Number++
@@ -28,7 +29,8 @@
 	return &next
 }
 
-// normalizeAndCheck removes an empty directory, and checks the version.
+// normalizeAndCheck sets an empty directory to nil, which the canonical encoding requires, and
+// returns the error of Check.
 func (v *Version) normalizeAndCheck() error {
 	if directory := v.Directory; directory != nil && len(directory.Pools)+len(directory.Accounts)+len(directory.Namespaces) == 0 && directory.Previous == nil {
 		v.Directory = nil
@@ -45,7 +47,7 @@
 }
 
 // apply applies a change to v, which must be a copy that Version.next returned. base is the active
-// version; v may already contain other changes of the same round.
+// version. v may already contain other changes that are staged together with this one.
 func (v *Version) apply(base *Version, c *Change, history versionByNumber) error {
 	var err error
 	switch c.Kind {
@@ -68,8 +70,9 @@
 	return v.normalizeAndCheck()
 }
 
-// applyOperators replaces the operators' part. It keeps the customers' accounts that still have a
-// parent, and the namespaces of accounts that still exist.
+// applyOperators replaces the operators' part: refusals, excluded hosts, pools, top-level accounts
+// and the operators' namespace. It keeps the customers' accounts that still have a parent, and the
+// namespaces of accounts that still exist.
 func (v *Version) applyOperators(base *Version, c *Change) error {
 	if err := checkBase(c.BaseVersion, base.OperatorsNumber, base.Number); err != nil {
 		return err
@@ -86,8 +89,8 @@
 	return err
 }
 
-// mergeAccounts returns the operators' accounts and the accounts that customers have made below
-// them. An unchanged account keeps its version number.
+// mergeAccounts returns the proposed accounts and the old accounts below them, sorted by name. A
+// proposed account that equals the old one keeps its version number; others get number.
 func mergeAccounts(proposed, old []namespace.Account, number uint64) (accounts []namespace.Account) {
 	for _, a := range proposed {
 		a.VersionNumber = number
@@ -107,8 +110,9 @@
 	return accounts
 }
 
-// mergeNamespaces returns the operators' own namespace, and the namespaces of accounts that still
-// exist.
+// mergeNamespaces returns the proposed namespace of the operators with number as its version
+// number, and the old namespaces of accounts that still exist. It returns an error if an account's
+// namespace is proposed.
 func mergeNamespaces(proposed, old []namespace.Namespace, accounts []namespace.Account, number uint64) (spaces []namespace.Namespace, err error) {
 	for _, s := range proposed {
 		if s.Account != "" {
@@ -137,9 +141,9 @@
 	return slices.BinarySearchFunc(all, account, func(s namespace.Namespace, account string) int { return cmp.Compare(s.Account, account) })
 }
 
-// removeEntry removes the entry at index i, if it exists, and returns the rest and the number of the
-// version that last changed the entry, or 0. It overwrites all, which must be a slice that
-// Version.next has copied.
+// removeEntry removes the entry at index i if exists is true. It returns the other entries and the
+// number of the version that last changed the removed entry, or 0 if there was none. It overwrites
+// the slice all, which must be a copy that Version.next has made.
 func removeEntry[T any](all []T, i int, exists bool, number func(T) uint64) (rest []T, lastChanged uint64) {
 	if !exists {
 		return all, 0
@@ -148,7 +152,7 @@
 	return slices.Delete(all, i, i+1), lastChanged
 }
 
-// applyNamespace replaces an account's namespace. An empty one removes it.
+// applyNamespace replaces an account's namespace, or removes it if the proposed one has no routes.
 func (v *Version) applyNamespace(base *Version, c *Change) error {
 	var proposed namespace.Namespace
 	if err := unmarshal(c.Body, &proposed); err != nil {
@@ -172,8 +176,8 @@
 	return nil
 }
 
-// applyAccount replaces or adds an account below another one. Top-level accounts are changed only by
-// KindOperators.
+// applyAccount replaces or adds an account below another one. It rejects top-level accounts: only
+// KindOperators changes them.
 func (v *Version) applyAccount(base *Version, c *Change) error {
 	var proposed namespace.Account
 	if err := unmarshal(c.Body, &proposed); err != nil {
@@ -227,7 +231,7 @@
 }
 
 // setNumber sets the number of a version and of all its parts. After a rollback every part counts
-// as changed, so that no change that was made against an older version applies.
+// as changed, so that every change that was made against an older version is rejected as stale.
 func (v *Version) setNumber(number uint64) {
 	v.Number, v.OperatorsNumber = number, number
 	for i := range v.Directory.Namespaces {
--- a/internal/fleet/rules/auditlog.go
+++ b/internal/fleet/rules/auditlog.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxAuditEntries = 32 // the oldest entries are dropped
-	auditHashBytes  = 16
+	maxAuditEntries = 32 // applied changes, and likewise rejected ones; the oldest are dropped
+	auditHashBytes  = 16 // length to which a SHA-256 hash is truncated
 )
 
 // AuditEntry records one applied change. Its hash covers the hash of the previous entry, so that a
@@ -20,11 +20,11 @@
 type AuditEntry struct {
 	_          struct{} `cbor:",toarray"`
 	Number     uint64   // number of the version that contains the change
-	ID         []byte
-	Proposer   string // "operators", or the account and label of the grant
-	Subject    string // subject of the change
-	WallMillis int64  // time of day at the publisher, in Unix milliseconds
-	Hash       []byte
+	ID         []byte   // of the change
+	Proposer   string   // "operators", or the account and label of the grant
+	Subject    string   // subject of the change
+	WallMillis int64    // time of day at the publisher, in Unix milliseconds
+	Hash       []byte   // covers the other fields and the hash of the previous entry
 }
 
 // chainedHash returns the entry's hash. previous is the hash of the previous entry, or nil for the
@@ -47,7 +47,8 @@
 	return out[max(0, len(out)-maxAuditEntries):]
 }
 
-// findEntry returns the entry of the change with an ID, or nil. An empty ID matches no entry.
+// findEntry returns the entry of the change with an ID, or nil if there is none. An empty ID matches
+// no entry.
 func findEntry(entries []AuditEntry, id []byte) *AuditEntry {
 	i := slices.IndexFunc(entries, func(e AuditEntry) bool { return len(id) > 0 && bytes.Equal(e.ID, id) })
 	if i < 0 {
@@ -71,8 +72,8 @@
 // auditLog holds the applied changes, and the last rejected ones.
 type auditLog struct {
 	active   []AuditEntry // changes up to the active version, the newest last
-	staged   []AuditEntry // active and the changes of the staged version
-	rejected []string     // not stored, so that rejections do not displace applied changes
+	staged   []AuditEntry // active and the changes of the staged version; the same as active if none is staged
+	rejected []string     // one line each, the newest last; not stored, so that they do not displace applied changes
 }
 
 // restore sets the log from a checkpoint, which already contains the changes of the staged version.
@@ -95,8 +96,9 @@
 	l.rejected = l.rejected[max(0, len(l.rejected)-maxAuditEntries):]
 }
 
-// text returns the log as text for administrators, limited to the entries whose subject is about or
-// below it. An empty about means the complete log.
+// text returns the log as text for administrators: the applied changes whose subject contains about
+// as a whole name or as the name of an account above, and the rejected changes that contain about.
+// An empty about means the complete log.
 func (l *auditLog) text(about string) string {
 	var b strings.Builder
 	for _, e := range l.active {
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -13,10 +13,11 @@
 // the same key is never valid for a change.
 const signatureDomain = "croftlock rules change\x00"
 
-// minSignedIDBytes makes it unlikely that two signed changes have the same ID by chance. The second
-// would be treated as a retry of the first.
+// minSignedIDBytes is the minimum length of a signed change's ID. It makes it unlikely that two
+// changes have the same ID by chance: the second would be treated as a retry of the first.
 const minSignedIDBytes = 8
 
+// Errors of authorization. The last two continue a sentence about a grant; see NoGrantError.
 var (
 	errBadSignature     = errors.New("its signature is not by its key")
 	errShortID          = errors.New("a signed change needs an id of 8 bytes or more")
@@ -38,10 +39,10 @@
 	c.Sig = ed25519.Sign(key, c.signedBytes())
 }
 
-// authorize returns the name of a change's proposer, and an error unless a grant of v allows the
-// change. It is called when the change arrives and again when a version is made of it, so that a
-// grant that was revoked in between allows nothing. Operators send unsigned changes at their own
-// socket.
+// authorize returns the name of a change's proposer for the audit log, and an error unless a grant
+// of v allows the change. A change without a key is always allowed: it comes from the operators'
+// own socket. authorize is called when the change arrives and again when a version is made of it,
+// so that a grant that was revoked in between allows nothing. The name is set even with an error.
 func (p *Publisher) authorize(change *Change, v *Version) (proposer string, err error) {
 	if len(change.Key) == 0 {
 		return "operators", nil
@@ -76,8 +77,9 @@
 	return fmt.Sprintf("by version %d its grant is %s; the change was made against version %d", e.Version, e.Grant, e.BaseVersion)
 }
 
-// grantFor returns the grant that allows a change, and its account. unix is the time of day in Unix
-// seconds, which determines whether a grant has ended.
+// grantFor returns the grant that allows a change, and the grant's account. If there is none, it
+// returns a *NoGrantError. unix is the time of day in Unix seconds; a grant with an earlier or equal
+// end does not count.
 func (v *Version) grantFor(c *Change, unix int64) (*namespace.Account, *namespace.Grant, error) {
 	var grant string
 	accounts := v.directoryOrEmpty().Accounts
@@ -102,7 +104,8 @@
 	return nil, nil, &NoGrantError{Version: v.Number, BaseVersion: c.BaseVersion, Grant: grant}
 }
 
-// checkGrant returns an error if a grant on account a does not allow a change.
+// checkGrant returns an error if grant g on account a does not allow a change of v. The errors
+// continue a sentence that names the grant; see NoGrantError.Grant.
 func (v *Version) checkGrant(a *namespace.Account, g *namespace.Grant, c *Change) error {
 	switch c.Kind {
 	case KindNamespace:
@@ -130,7 +133,7 @@
 	return checkVerb(g, namespace.MayDelegate)
 }
 
-// checkVerb returns an error unless a grant includes a verb.
+// checkVerb returns an error unless a grant includes a verb, which is one bit of Grant.Verbs.
 func checkVerb(g *namespace.Grant, verb namespace.Verbs) error {
 	if g.Verbs&verb == 0 {
 		return fmt.Errorf("which may %s alone", g.Verbs)
@@ -138,7 +141,8 @@
 	return nil
 }
 
-// differInLimitsOnly reports whether two accounts differ at most in limits and version numbers.
+// differInLimitsOnly reports whether two accounts differ at most in limits (rate, connections,
+// routes, changes) and version numbers.
 func differInLimitsOnly(a, b namespace.Account) bool {
 	for _, account := range []*namespace.Account{&a, &b} {
 		account.Rate, account.Connections, account.Routes, account.Changes, account.VersionNumber = namespace.Limit{}, namespace.Limit{}, 0, 0, 0
--- a/internal/fleet/rules/change.go
+++ b/internal/fleet/rules/change.go
@@ -35,8 +35,8 @@
 	return fmt.Sprintf("kind_%d", uint8(k))
 }
 
-// Change is a change that an administrator proposes. It is a compare-and-set: it is rejected if its
-// subject has changed since its base version.
+// Change is a change that an administrator proposes. Like a compare-and-set, it is rejected if its
+// subject (the rules, a namespace or an account) has changed since its base version.
 type Change struct {
 	_           struct{} `cbor:",toarray"`
 	ID          []byte   // changes with the same ID are applied once
@@ -60,8 +60,9 @@
 	return "rules"
 }
 
-// NewOperatorsChange returns a change that replaces the operators' part with that of v. If id is
-// empty, EncodeProposal sets an ID; the same holds for the other constructors.
+// NewOperatorsChange returns a change that replaces the operators' part (refusals, excluded hosts,
+// pools, top-level accounts and the operators' namespace) with that of v. If id is empty,
+// EncodeProposal sets an ID; the same holds for the other constructors.
 func NewOperatorsChange(v *Version, baseVersion uint64, id []byte) *Change {
 	proposed := *v
 	proposed.Number = baseVersion + 1
@@ -83,7 +84,7 @@
 	return &Change{ID: id, Kind: KindRemoveAccount, Account: account, BaseVersion: baseVersion}
 }
 
-// NewRollback returns a change that restores all rules from the version with a number.
+// NewRollback returns a change that restores all rules from the earlier version number.
 func NewRollback(number, baseVersion uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: KindRollback, BaseVersion: baseVersion, Body: marshal(number)}
 }
@@ -103,8 +104,9 @@
 	return fmt.Sprintf("it was made against version %d, and %d is active", e.BaseVersion, e.Current)
 }
 
-// checkBase returns a StaleChangeError if the subject was last changed after baseVersion, or if
-// baseVersion is later than the active version.
+// checkBase returns a *StaleChangeError if a subject was last changed after baseVersion, or if
+// baseVersion is later than the active version. All arguments are version numbers; lastChanged is 0
+// if the subject does not exist.
 func checkBase(baseVersion, lastChanged, active uint64) error {
 	if baseVersion < lastChanged {
 		return &StaleChangeError{baseVersion, lastChanged}
--- a/internal/fleet/rules/checkpoint.go
+++ b/internal/fleet/rules/checkpoint.go
@@ -2,20 +2,22 @@
 
 import "fmt"
 
-// maxCheckpointBytes bounds an encoded checkpoint. It is below the 32 KiB that a job may store.
+// maxCheckpointBytes bounds an encoded checkpoint. It is below the 32 KiB that the replicated group
+// stores for a job.
 const maxCheckpointBytes = 31 << 10
 
-// checkpoint is the publisher's state as the group stores it, for the next publisher to continue
-// from.
+// checkpoint is the publisher's state that the replicated group stores, so that the next publisher
+// can continue from it.
 type checkpoint struct {
 	_        struct{} `cbor:",toarray"`
-	Active   []byte   // the active version, encoded for transfer; empty means version 0
-	Staged   []byte   // encoded for transfer; empty if no version is staged
+	Active   []byte   // the active version, as Version.encodeFor returns it for no base; empty means version 0
+	Staged   []byte   // the version that is to follow it, encoded likewise; empty if none is staged
 	AuditLog []AuditEntry
-	History  [][]byte // as versionStore.history
+	History  [][]byte // earlier versions, oldest first; see versionStore.history
 }
 
-// encode encodes the checkpoint, without the oldest earlier versions that do not fit.
+// encode encodes the checkpoint. It removes the oldest versions from History until the encoding fits
+// maxCheckpointBytes.
 func (c *checkpoint) encode() []byte {
 	for {
 		if data := marshal(c); len(data) <= maxCheckpointBytes || len(c.History) == 0 {
@@ -35,7 +37,8 @@
 	return stored.encode()
 }
 
-// restore sets the state from a checkpoint. An empty checkpoint means version 0 without a history.
+// restore sets the versions and the audit log from an encoded checkpoint. An empty checkpoint means
+// version 0 without a history.
 func (p *Publisher) restore(data []byte) error {
 	p.versions.setActive(&Version{})
 	if len(data) == 0 {
@@ -50,8 +53,8 @@
 	return nil
 }
 
-// decodeCheckpoint decodes a checkpoint, and sets the active and the staged version from it. Absent
-// versions are left as they are.
+// decodeCheckpoint decodes a checkpoint, and sets the active and the staged version from it. If the
+// checkpoint has no active or no staged version, that of p stays as it is.
 func (p *Publisher) decodeCheckpoint(data []byte) (stored checkpoint, err error) {
 	if err := unmarshal(data, &stored); err != nil {
 		return stored, err
--- a/internal/fleet/rules/compiled.go
+++ b/internal/fleet/rules/compiled.go
@@ -7,17 +7,17 @@
 	"croftlock/internal/fleet/quota"
 )
 
-// refusalKey is the tenant and the class of a refusal. An empty string matches all.
+// refusalKey is the tenant and the class of a refusal. An empty string matches every tenant or class.
 type refusalKey struct{ tenant, class string }
 
 // compiledVersion is a version with the lookup tables that evaluate requests.
 type compiledVersion struct {
 	version                 *Version
-	refusalRetryAfterMillis map[refusalKey]uint32 // 0 means no Retry-After
-	excludedHosts           map[string]struct{}
-	namespaces              *namespace.Compiled // nil if there are only the main pool and no routes
-	limits                  map[string]quota.Limit
-	limitedAccounts         []string // keys of limits, sorted
+	refusalRetryAfterMillis map[refusalKey]uint32  // 0 means no Retry-After
+	excludedHosts           map[string]struct{}    // by host ID
+	namespaces              *namespace.Compiled    // nil if there are only the main pool and no routes
+	limits                  map[string]quota.Limit // by account; nil if namespaces is nil
+	limitedAccounts         []string               // keys of limits, sorted
 }
 
 // compileVersion compiles a version that has passed Check.
--- a/internal/fleet/rules/compression.go
+++ b/internal/fleet/rules/compression.go
@@ -8,16 +8,17 @@
 	"io"
 )
 
-// The formats of a transferred version, by its first byte. An uncompressed version starts with a
-// CBOR map, whose first byte is never one of these.
+// The formats of a transferred version or text, by its first byte. Uncompressed data has no format
+// byte: a version starts with a CBOR map, whose first byte is never one of these, and a text with a
+// printable character.
 const (
 	formatCompressed = 1
 	formatDelta      = 2
 )
 
 const (
-	maxUncompressedBytes = 4 << 10             // longest data that is not compressed, so that earlier builds can decode it
-	deltaThresholdBytes  = 1 << 10             // longest encoded version that is never sent as a delta, which would save little
+	maxUncompressedBytes = 4 << 10             // data up to this length is not compressed, so that earlier builds can decode it
+	deltaThresholdBytes  = 1 << 10             // a version whose encoding (compressed if long) has up to this length is sent complete, since a delta would save little
 	maxReplyBytes        = 8 * maxEncodedBytes // longest decompressed reply to an administrator
 )
 
@@ -31,7 +32,8 @@
 	return deflate(formatCompressed, data)
 }
 
-// decompress reverses compress. It returns data in another format unchanged.
+// decompress reverses compress. It returns data that does not start with formatCompressed unchanged,
+// and an error if the decompressed data is longer than maxEncodedBytes.
 func decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != formatCompressed {
 		return data, nil
--- a/internal/fleet/rules/delta.go
+++ b/internal/fleet/rules/delta.go
@@ -8,8 +8,9 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// run describes consecutive accounts or namespaces of a version: either Count elements of the base,
-// from index From on, or a single Element that the base does not have.
+// run describes consecutive accounts or namespaces of a version: either Count elements of the base
+// version, from index From on, or a single Element that the base does not have. Element is nil in
+// the first case, and Count is 0 in the second.
 type run[T any] struct {
 	_       struct{} `cbor:",toarray"`
 	From    uint32
@@ -36,8 +37,8 @@
 func accountName(a *namespace.Account) string        { return a.Name }
 func namespaceAccount(s *namespace.Namespace) string { return s.Account }
 
-// toRuns returns the runs that describe all relative to base. name returns an element's unique
-// name.
+// toRuns returns the runs that describe the elements of all by those of base. name returns an
+// element's unique name.
 func toRuns[T any](all, base []T, name func(*T) string) (runs []run[T]) {
 	baseIndex := map[string]uint32{}
 	for i := range base {
@@ -58,8 +59,9 @@
 	return runs
 }
 
-// fromRuns returns the elements that runs describe relative to base. It rejects runs that reach
-// beyond the base, and more than MaxEntries elements.
+// fromRuns returns the elements that runs describe by those of base. It returns
+// errMalformedVersion if a run is neither of the two kinds or reaches beyond the base, or if there
+// are more than MaxEntries elements.
 func fromRuns[T any](runs []run[T], base []T) (all []T, err error) {
 	for _, r := range runs {
 		switch {
@@ -117,8 +119,9 @@
 	return v, nil
 }
 
-// encodeFor returns the shortest encoding of a version that a receiver with base can decode. A nil
-// base means that the receiver may have no version, so the version is complete.
+// encodeFor returns the encoding of a version for a receiver that has base: the complete version,
+// compressed if it is long, or a delta if that is shorter. A nil base means that the receiver may
+// have no version; the encoding is then complete.
 func (v *Version) encodeFor(base *Version) []byte {
 	data := compress(v.Encode())
 	if base == nil || len(data) <= deltaThresholdBytes {
@@ -130,16 +133,15 @@
 	return data
 }
 
-// errMissingBase is returned if the receiver does not have the base of a delta. The sender then has
-// to send the complete version.
+// errMissingBase is returned if the receiver does not have the base of a delta. The sender must then
+// send the complete version.
 var errMissingBase = errors.New("rules: the version that a difference is from is not here")
 
 // versionByHash returns the receiver's version with a hash, or nil if the receiver does not have
 // it.
 type versionByHash func(Hash) *Version
 
-// onlyBase returns the lookup function of a receiver that has only version v, or no version if v is
-// nil.
+// onlyBase returns the versionByHash of a receiver that has only version v, or none if v is nil.
 func onlyBase(v *Version) versionByHash {
 	return func(h Hash) *Version {
 		if v != nil && v.Hash() == h {
@@ -149,7 +151,8 @@
 	}
 }
 
-// decodeVersion decodes and checks a version that is uncompressed, compressed or a delta.
+// decodeVersion decodes and checks a version that is uncompressed, compressed or a delta. bases
+// returns the base of a delta.
 func decodeVersion(data []byte, bases versionByHash) (*Version, error) {
 	if len(data) > 0 && data[0] == formatDelta {
 		return decodeDelta(data[1:], bases)
@@ -161,7 +164,8 @@
 	return Decode(data)
 }
 
-// decodeDelta decodes a delta without its first byte, and returns the checked version.
+// decodeDelta decodes a delta without its format byte, and returns the checked version that the
+// delta describes. It returns errMissingBase if bases does not return the base of the delta.
 func decodeDelta(data []byte, bases versionByHash) (*Version, error) {
 	data, err := inflate(data, maxEncodedBytes)
 	if err != nil {
@@ -188,9 +192,9 @@
 	return v, nil
 }
 
-// transferredHash returns the publisher's hash of a version that it sent in data, which must not be
-// empty, even if the version can't be decoded. A member reports the fault of such a version with
-// this hash.
+// transferredHash returns the hash under which the publisher knows the version that it sent in data,
+// even if the version can't be decoded. A member reports the fault of such a version with this
+// hash. data must not be empty.
 func transferredHash(data []byte) Hash {
 	if data[0] == formatDelta {
 		var d delta
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -9,10 +9,10 @@
 	"croftlock/internal/fleet/quota"
 )
 
-// leasedVersion is the version that a process acts by, and the end of its lease.
+// leasedVersion is the version that a process acts by, and the end of the lease that permits it to.
 type leasedVersion struct {
 	*compiledVersion
-	leaseEnd Time
+	leaseEnd Time // on the clock Enforcer.Now
 }
 
 // Enforcer applies the version that this process acts by to requests. The version and the end of
@@ -23,7 +23,7 @@
 	// KeepLastVersion makes the last version apply after its lease has ended, although other
 	// members may act by a newer one. Otherwise requests are rejected.
 	KeepLastVersion  bool
-	LapsedRetryAfter time.Duration // Retry-After of requests that are rejected because the lease has ended
+	LapsedRetryAfter time.Duration // Retry-After of requests that are rejected because there is no valid lease
 	// Clock returns the time of day, for routes that apply at certain times. If nil, time.Now is
 	// used.
 	Clock func() time.Time
@@ -42,8 +42,8 @@
 	Pools      []string      // in the order of preference; nil if the rules define no pools
 }
 
-// Evaluate reports whether a request may be placed, and in which pools. Callers evaluate a request
-// again before each attempt, since the lease may have ended.
+// Evaluate reports whether a request may be placed, and in which pools. It sets request.Minute
+// itself. Callers evaluate a request again before each attempt, since the lease may have ended.
 func (e *Enforcer) Evaluate(request namespace.Request) (verdict Verdict) {
 	active, verdict := e.current()
 	if active == nil || verdict.Rejected {
@@ -144,7 +144,8 @@
 	return s + "\n" + active.namespaces.Explain(request)
 }
 
-// Usable reports whether a host may get new requests.
+// Usable reports whether a host, identified by its ID, may get new requests: the version does not
+// exclude it, and a lease is valid or KeepLastVersion is set.
 func (e *Enforcer) Usable(host string) bool {
 	active, v := e.current()
 	if active == nil || v.Rejected {
@@ -154,8 +155,9 @@
 	return !out
 }
 
-// current returns the version to apply, or nil if there is none, and an initial verdict. The
-// verdict rejects if there is no valid lease, unless KeepLastVersion is set.
+// current returns the version to apply, or nil before the first version, and a verdict without the
+// results of the rules. The verdict rejects if there is no valid lease, unless KeepLastVersion is
+// set.
 func (e *Enforcer) current() (*leasedVersion, Verdict) {
 	active := e.active.Load()
 	if active != nil && e.Now() < active.leaseEnd {
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -1,10 +1,10 @@
 package rules
 
-// clockDriftDivisor determines the margin by which each side changes the end of a lease: a fiftieth
-// of its duration, which covers a clock that is 2 % fast or slow. The member counts its lease from
-// before it sent the request and ends it a margin early; the publisher counts from when the request
-// arrived and ends it a margin late. So a lease that has ended at the publisher has ended at the
-// member too, no matter how long the messages were delayed.
+// clockDriftDivisor determines the margin by which each side moves the end of a lease: the lease's
+// duration divided by it, 2 %, which covers a clock that is 2 % fast or slow. The member counts its
+// lease from before it sent the request and ends it a margin early; the publisher counts from when
+// the request arrived and ends it a margin late. So a lease that has ended at the publisher has
+// ended at the member too, no matter how long the messages were delayed.
 const clockDriftDivisor = 50
 
 // MemberLeaseEnd returns when a lease ends at the member that requested it at requestedAt, on the
@@ -22,14 +22,14 @@
 // memberState is the publisher's knowledge of a member's lease and versions.
 type memberState struct {
 	leaseNumber uint64 // number of the version that the lease covers
-	leaseEnd    Time   // 0 if no lease was granted
+	leaseEnd    Time   // on the publisher's clock; 0 if no lease was granted
 	ready       Hash   // hash of the newest version that the member has compiled; zero if none
 	fault       string // why the member can't use the staged version; empty if it has reported no fault
 }
 
-// recordReport records which version the member has compiled and which it can't use, from its
-// query. Only a fault of the staged version counts, since a fault of an earlier version may be
-// reported late.
+// recordReport records from a member's query which version the member has compiled, and whether it
+// can't use the staged version. A fault of another version is ignored, since it may be reported
+// late.
 func (m *memberState) recordReport(q *leaseQuery, versions *versionStore) {
 	m.ready, m.fault = Hash{}, ""
 	if versions.staged != nil && q.Fault != "" && string(q.FaultyVersion) == string(versions.stagedHash[:]) {
--- a/internal/fleet/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -15,16 +15,17 @@
 	LeaseDuration Time // nanoseconds; the same as the publisher's
 	MaxEntries    int  // maximum number of entries of a version; 0 means no limit
 	Enforcer      *Enforcer
-	// SendQuery sends a query to the publisher. Its reply is passed to ReplyReceived with the tag.
+	// SendQuery sends a query to the publisher. The caller passes the reply to ReplyReceived with
+	// the same tag.
 	SendQuery func(tag uint64, body []byte)
 	// VersionChanged is called when the version that this process acts by changes. It may be nil.
 	VersionChanged func(number uint64, hash Hash)
 
 	queries  queryTracker
-	versions map[Hash]*compiledVersion // the active version and the newest one
+	versions map[Hash]*compiledVersion // the active version, the newest one, and those received since the active one changed
 	active   Hash                      // of the version that this process acts by; zero if none
 	ready    versionID                 // the newest compiled version; zero if none
-	fault    versionFault              // the last version that this process could not use
+	fault    versionFault              // the last version that this process could not use, until a newer one is compiled
 }
 
 // versionID is a version's number and hash.
@@ -71,7 +72,8 @@
 	}
 }
 
-// NotificationReceived requests a lease immediately, since the publisher has a new version.
+// NotificationReceived requests a lease immediately. Call it when the publisher notifies its members
+// of a new version.
 func (m *Member) NotificationReceived(now Time) { m.requestLease(now) }
 
 // requestLease sends a query that requests a lease and reports the versions of this process.
--- a/internal/fleet/rules/message.go
+++ b/internal/fleet/rules/message.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// queryKind is the first byte of a query to the publisher.
+// queryKind is the first byte of a query to the publisher; see the query types below.
 type queryKind = byte
 
 const (
@@ -18,8 +18,8 @@
 )
 
 const (
-	maxProposalBytes = maxEncodedBytes + maxEncodedBytes/4 // a change contains a version and some fields
-	maxChangeIDBytes = 16
+	maxProposalBytes = maxEncodedBytes + maxEncodedBytes/4 // of a decompressed change: a version and the other fields
+	maxChangeIDBytes = 16                                  // of Change.ID
 )
 
 // Errors of queries that can't be decoded. Administrators get the texts as answers.
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// formatField returns a field with its values, or "" without values.
+// formatField returns a field with its values, separated by blanks, or "" without values. Like the
+// results of the other format functions, the field starts with a blank.
 func formatField(name string, values ...string) string {
 	if s := strings.Join(values, " "); s != "" {
 		return fmt.Sprintf(" (%s %s)", name, settings.Quote(s))
@@ -93,7 +94,7 @@
 	return fmt.Sprintf(" (%s %d)", name, n)
 }
 
-// formatAccount returns an account's fields except its name.
+// formatAccount returns an account's fields except its name and version number.
 func formatAccount(a *namespace.Account) string {
 	s := formatField("tenants", a.Tenants...) + formatField("pools", a.Pools...) + formatField("classes", a.Classes...) +
 		formatNumber("rate", a.Rate.Max) + formatNumber("rate_reserved", a.Rate.Reserved) +
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -8,7 +8,8 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// maxWaitingProposals bounds the proposals that wait to be staged.
+// maxWaitingProposals bounds the proposals that wait to become part of a staged version, which the
+// members compile before it becomes active.
 const maxWaitingProposals = 64
 
 // proposal is a change and the administrator's pending query for it.
@@ -16,7 +17,7 @@
 	*Change
 	proposer string // see AuditEntry.Proposer; empty if the previous publisher staged the change
 	reply    func(text string)
-	alone    bool // staged without others: a rollback, or part of a round that a member could not use
+	alone    bool // must be the only change of its version: a rollback, or part of a version that a member could not use
 }
 
 // replyAll sends the same answer to several proposals.
@@ -32,7 +33,7 @@
 	staged  []*proposal // part of the staged version, or of the version that the group is storing
 }
 
-// find returns the first matching proposal, or nil.
+// find returns the first proposal for which match returns true, or nil if there is none.
 func (q *proposalQueue) find(match func(*proposal) bool) *proposal {
 	for _, list := range [...][]*proposal{q.waiting, q.staged} {
 		if i := slices.IndexFunc(list, match); i >= 0 {
@@ -52,8 +53,8 @@
 	return q.find(func(p *proposal) bool { return p.subject() == subject })
 }
 
-// nextRound removes the proposals that are staged together next from the waiting ones, and returns
-// them: those before the first one that must be staged alone, or only that one if it is the oldest.
+// nextRound removes from the waiting proposals those that are staged together next, and returns
+// them: all before the first one that must be staged alone, or only that one if it is the oldest.
 func (q *proposalQueue) nextRound() []*proposal {
 	round := q.waiting
 	if i := slices.IndexFunc(round, func(p *proposal) bool { return p.alone }); i >= 0 {
@@ -72,8 +73,8 @@
 	q.waiting = append(proposals, q.waiting...)
 }
 
-// propose queues a change and answers it once its outcome is known. It rejects a change that is
-// invalid by itself immediately, so that it never delays the other changes of a round.
+// propose queues a change and calls reply once the outcome of the change is known. It rejects a
+// change that is invalid by itself immediately, so that such a change never delays others.
 func (p *Publisher) propose(now Time, change *Change, reply func(string)) {
 	if p.handleRetry(now, change, reply) {
 		return
@@ -109,9 +110,10 @@
 	}
 }
 
-// handleRetry reports whether a change was proposed before, for example by an administrator who got
-// no answer, and then answers it or replaces the pending proposal's reply. A retried change is
-// applied once, and does not count against the rate limit.
+// handleRetry reports whether a change with the same ID was proposed before, for example by an
+// administrator who got no answer. If so, it calls reply for an applied change, or keeps reply for
+// the outcome of a pending one. A retried change is applied once, and does not count against the
+// rate limit.
 func (p *Publisher) handleRetry(now Time, change *Change, reply func(string)) bool {
 	if proposal := p.proposals.byID(change.ID); proposal != nil {
 		proposal.reply = reply
@@ -130,9 +132,10 @@
 	return false
 }
 
-// stageProposals makes one version of the waiting proposals, so that one customer's change does not
-// wait for the changes of others. If the previous publisher left a transitional version active, it
-// first stages the version that completes the transition.
+// stageProposals stages one version with the waiting proposals that nextRound returns, so that one
+// customer's change does not wait for the changes of others. If that version reassigns hosts or
+// tenants, it is transitional: no account uses them until the following version. If the previous
+// publisher left a transitional version active, stageProposals only stages the following one.
 func (p *Publisher) stageProposals(now Time) {
 	if p.versions.active.transitional() {
 		p.stageAfterTransitional(now, nil)
@@ -155,9 +158,10 @@
 	}
 }
 
-// applyRound applies each proposal that is still allowed. It authorizes each again on the version
-// that the round has made so far, and rejects a proposal if its grant was revoked or its subject
-// changed since the proposal arrived.
+// applyRound applies the proposals of a round, one after the other, to a copy of the active version,
+// and returns the result for staging. It authorizes each proposal again by the version that the
+// earlier ones have made, and rejects it if its grant was revoked or its subject changed since it
+// arrived.
 func (p *Publisher) applyRound(now Time, round []*proposal) *staging {
 	staged := &staging{startedAt: now, version: p.versions.active.next(), audit: p.audit.active}
 	for _, proposal := range round {
--- a/internal/fleet/rules/reassignment.go
+++ b/internal/fleet/rules/reassignment.go
@@ -35,8 +35,8 @@
 	return owners
 }
 
-// ownerAssignment returns the part of a version that the following transitional version needs: the
-// owners of hosts and tenants.
+// ownerAssignment returns the part of a version that a following transitional version contains as
+// its previous assignment: the owners of hosts and tenants.
 func ownerAssignment(v *Version) *namespace.Assignment {
 	directory := v.directoryOrEmpty()
 	previous := &namespace.Assignment{Pools: directory.Pools}
@@ -46,6 +46,6 @@
 	return previous
 }
 
-// transitional reports whether a version is the intermediate one while hosts or tenants are
-// reassigned.
+// transitional reports whether a version is an intermediate one, by which no account uses the hosts
+// and tenants that are being reassigned.
 func (v *Version) transitional() bool { return v.directoryOrEmpty().Previous != nil }
--- a/internal/fleet/rules/settings.go
+++ b/internal/fleet/rules/settings.go
@@ -15,8 +15,8 @@
 	return settings.Section{Name: "rules", Doc: "rules on which all proxies agree", Bind: func(f *settings.FieldSet) any { return bindVersion(f) }}
 }
 
-// bindVersion binds the section's entries and returns the version that they specify. It reports a
-// fault if the version is invalid.
+// bindVersion registers the section's entries and returns the version that they specify, with number
+// 0. It adds a fault to f if the version is invalid.
 func bindVersion(f *settings.FieldSet) *Version {
 	v := &Version{}
 	f.Repeated("refuse", "requests that are rejected, under a label that operators choose", func(_ string, f *settings.FieldSet) {
--- a/internal/fleet/rules/status.go
+++ b/internal/fleet/rules/status.go
@@ -40,8 +40,8 @@
 	return s
 }
 
-// overview returns the summary, the number of the staged version, and the number of waiting
-// changes.
+// overview returns the summary, followed by the number of the staged version and the number of
+// waiting changes, if there are any.
 func (p *Publisher) overview(now Time) string {
 	s := p.summary(now)
 	if p.versions.staged != nil {
@@ -98,7 +98,8 @@
 	}
 }
 
-// writeMembers writes a table of the members' leases and their state of the staged version.
+// writeMembers writes a table with a line for each member: the version that its lease covers, the
+// remaining time of the lease, and whether the member has compiled the staged version.
 func (p *Publisher) writeMembers(w io.Writer, now Time) {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "process\tacts by\tfor\tnext version")
@@ -114,8 +115,8 @@
 	t.Flush()
 }
 
-// stagedStateAt returns a member's state of the staged version as text: ready, not ready, or its
-// fault.
+// stagedStateAt returns whether the member with a peer ID has compiled the staged version, as text:
+// ready, not ready, the reason why it can't use the version, or "-" if none is staged.
 func (p *Publisher) stagedStateAt(peer uint32) string {
 	if p.versions.staged == nil {
 		return "-"
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -12,13 +12,14 @@
 
 // pendingTransition is the transition that the group is storing.
 type pendingTransition struct {
-	checkpointNumber uint64     // number of the last checkpoint
+	checkpointNumber uint64     // number of the last checkpoint that was sent to the group
 	next             transition // nil if none is pending
-	startedAt        Time
+	startedAt        Time       // when its checkpoint was sent to the group
 }
 
-// beginTransition asks the group to store a state. The transition to it waits for the confirmation.
-// It is aborted immediately if the group does not accept the request.
+// beginTransition asks the group to store state, an encoded checkpoint. CheckpointStored commits or
+// aborts t when the group answers. If the group does not accept the request, beginTransition aborts
+// t immediately.
 func (p *Publisher) beginTransition(now Time, state []byte, t transition) {
 	p.pending.checkpointNumber++
 	p.pending.next, p.pending.startedAt = t, now
@@ -28,7 +29,8 @@
 	}
 }
 
-// CheckpointStored commits or aborts the pending transition.
+// CheckpointStored commits the pending transition if stored is true, and aborts it otherwise. It
+// ignores a checkpoint that is not the last one, and then calls Step.
 func (p *Publisher) CheckpointStored(now Time, checkpointNumber uint64, stored bool) {
 	if t := p.pending.next; t != nil && checkpointNumber == p.pending.checkpointNumber {
 		p.pending.next = nil
@@ -50,12 +52,13 @@
 	}
 }
 
-// staging is the transition that stages a version.
+// staging is the transition that stages a version: once the group has stored the version, the
+// members fetch and compile it.
 type staging struct {
 	startedAt Time
 	version   *Version
-	audit     []AuditEntry
-	proposals []*proposal
+	audit     []AuditEntry // the audit log including the changes of the version
+	proposals []*proposal  // whose changes the version contains
 }
 
 // stage begins to stage a version.
@@ -64,7 +67,8 @@
 	p.beginTransition(s.startedAt, p.encodeCheckpoint(p.versions.active, s.version, s.audit, p.versions.history), s)
 }
 
-// commit stages the version, and notifies the members so that they fetch and compile it.
+// commit makes the version the staged one, and notifies the members so that they fetch and compile
+// it.
 func (s *staging) commit(p *Publisher) {
 	p.versions.stage(s.version, s.startedAt)
 	p.audit.staged = s.audit
@@ -81,7 +85,7 @@
 // activation is the transition that makes the staged version the active one.
 type activation struct {
 	startedAt Time
-	history   [][]byte
+	history   [][]byte // the earlier versions once this one is active; see versionStore.history
 }
 
 // activate begins to activate the staged version.
@@ -90,8 +94,8 @@
 	p.beginTransition(now, p.encodeCheckpoint(p.versions.staged, nil, p.audit.staged, a.history), a)
 }
 
-// commit activates the version and answers its proposals. After a transitional version it stages
-// the version that completes the transition, which answers them instead.
+// commit activates the version and answers its proposals. If the version is transitional, it stages
+// the following version instead, and the proposals are answered once that one is active.
 func (a *activation) commit(p *Publisher) {
 	proposals := p.proposals.staged
 	p.versions.activate(a.history)
@@ -112,9 +116,9 @@
 // abort does nothing: a later Step activates the version again.
 func (a *activation) abort(*Publisher) {}
 
-// stageAfterTransitional stages the version that follows a transitional one. By the transitional
-// version no account uses the reassigned hosts and tenants; by the following one the new owner
-// does.
+// stageAfterTransitional stages the version that follows the active, transitional one. By the
+// transitional version no account uses the reassigned hosts and tenants; by the following one their
+// new owners do. The following version answers proposals.
 func (p *Publisher) stageAfterTransitional(now Time, proposals []*proposal) {
 	v := p.versions.active.next()
 	if err := v.normalizeAndCheck(); err == nil {
@@ -124,19 +128,19 @@
 
 // abandonment is the transition that drops the staged version.
 type abandonment struct {
-	proposals []*proposal
-	reason    string
+	proposals []*proposal // whose changes the version contains
+	reason    string      // why the version is dropped
 }
 
-// abandon begins to drop the staged version. The reason is the answer to its proposal if there is
-// only one.
+// abandon begins to drop the staged version. If the version has only one proposal, reason is the
+// answer to it.
 func (p *Publisher) abandon(now Time, reason string) {
 	state := p.encodeCheckpoint(p.versions.active, nil, p.audit.active, p.versions.history)
 	p.beginTransition(now, state, &abandonment{p.proposals.staged, reason})
 }
 
-// commit rejects a single proposal. It requeues several proposals one by one, so that one that a
-// member can't use does not block the others.
+// commit drops the staged version. It rejects a single proposal. Several proposals it requeues, to
+// be staged one by one, so that one that a member can't use does not block the others.
 func (a *abandonment) commit(p *Publisher) {
 	p.versions.staged, p.proposals.staged, p.audit.staged = nil, nil, p.audit.active
 	if len(a.proposals) > 1 {
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -27,8 +27,8 @@
 
 const (
 	maxEncodedBytes     = 256 << 10 // of an encoded version before compression
-	maxStoredBytes      = 12 << 10  // of a version in a checkpoint; two of them fit within a job's 32 KiB
-	maxNameBytes        = 128       // of a host, tenant or class
+	maxStoredBytes      = 12 << 10  // of a version in a checkpoint, compressed; two of them fit within the 32 KiB that a job may store
+	maxNameBytes        = 128       // of the name of a host, tenant or class
 	maxRetryAfterMillis = 60_000    // of a refusal
 )
 
@@ -49,8 +49,9 @@
 	Number        uint64    `cbor:"1,keyasint"`
 	Refusals      []Refusal `cbor:"2,keyasint,omitempty"` // sorted by tenant and class
 	ExcludedHosts []string  `cbor:"3,keyasint,omitempty"` // IDs of hosts that get no new requests, sorted
-	// OperatorsNumber is the number of the version that last changed the operators' part. Each
-	// namespace and account has its own number of this kind.
+	// OperatorsNumber is the number of the version that last changed the operators' part: refusals,
+	// excluded hosts, pools, top-level accounts and the operators' namespace. Each namespace and
+	// account has a VersionNumber of the same kind.
 	OperatorsNumber uint64               `cbor:"4,keyasint,omitempty"`
 	Directory       *namespace.Directory `cbor:"5,keyasint,omitempty"` // nil if it would be empty
 }
@@ -94,8 +95,8 @@
 	return v, nil
 }
 
-// Check returns an error that describes the first invalid entry of a version, or the bound that the
-// version exceeds.
+// Check returns an error that describes the first invalid entry of a version or the bound that the
+// version exceeds, or nil if the version is valid.
 func (v *Version) Check() error {
 	if n := v.Entries(); n > MaxEntries {
 		return fmt.Errorf("rules: %d entries, %d are possible", n, MaxEntries)
--- a/internal/fleet/rules/versions.go
+++ b/internal/fleet/rules/versions.go
@@ -10,15 +10,15 @@
 	activeHash Hash
 	staged     *Version // nil if none is staged
 	stagedHash Hash
-	stagedAt   Time     // start of the staging; used for its timeout
-	history    [][]byte // earlier versions, oldest first, each as a delta from the following version
-	transfers  transferCache
+	stagedAt   Time          // start of the staging; a version that takes too long from then on is abandoned
+	history    [][]byte      // earlier versions, oldest first, each as a delta from the following version
+	transfers  transferCache // encodings that were sent or stored
 }
 
 // setActive sets the active version, and leaves the others unchanged.
 func (s *versionStore) setActive(v *Version) { s.active, s.activeHash = v, v.Hash() }
 
-// stage sets the staged version.
+// stage sets the staged version; now is the start of the staging.
 func (s *versionStore) stage(v *Version, now Time) {
 	s.staged, s.stagedHash, s.stagedAt = v, v.Hash(), now
 }
@@ -29,9 +29,10 @@
 	s.staged, s.history = nil, history
 }
 
-// missingVersions returns the encoded active and staged versions that a member lacks according to
-// its query; each is nil if the member does not need it. A member without any version gets the
-// active one even if that is version 0.
+// missingVersions returns the active and the staged version, encoded, if a member lacks them
+// according to its query. Each is nil if the member does not need it. The staged version is also nil
+// if the member has reported a fault of it. A member without any version gets the active one even if
+// that is version 0.
 func (s *versionStore) missingVersions(m *memberState, q *leaseQuery) (active, staged []byte) {
 	hasActive := q.ActiveNumber == s.active.Number || m.ready == s.activeHash
 	hasNone := q.ActiveNumber == 0 && q.ReadyNumber == 0
@@ -48,8 +49,8 @@
 	return active, s.transfers.encode(s.staged, base)
 }
 
-// byNumber returns the active version or an earlier one, or nil if the history does not have it any
-// more. It decodes the deltas from the active version backwards.
+// byNumber returns the active version or an earlier one by its number, or nil if the history does
+// not contain it any more. It decodes the deltas from the active version backwards.
 func (s *versionStore) byNumber(number uint64) *Version {
 	if number == s.active.Number {
 		return s.active
@@ -64,7 +65,8 @@
 	return nil
 }
 
-// historyAfter returns the history that is stored once next is active.
+// historyAfter returns the history to store when next replaces the active version: the current
+// history and the active version as a delta with the base next.
 func (s *versionStore) historyAfter(next *Version) [][]byte {
 	history := s.history[:len(s.history):len(s.history)]
 	if !s.active.transitional() {
