--- a/internal/fleet/consensus/change.go
+++ b/internal/fleet/consensus/change.go
@@ -12,8 +12,8 @@
 const promotionLag = 64
 
 // Add proposes to add a process to the group as a learner, which does not vote. The process must
-// have applied by sending a hello to this replica; errors call that "asked to be taken in".
-// The tag is passed to Effects.Applied once the change is applied.
+// have applied first, by sending a hello message with its identity to this replica; errors call that
+// "asked to be taken in". The tag is passed to Effects.Applied once the change is applied.
 func (c *Core) Add(now Time, tag uint64, name string) error {
 	id, isApplicant := c.joining.applicants[name]
 	if !isApplicant {
@@ -79,8 +79,8 @@
 	return own
 }
 
-// caughtUp reports whether a learner is active and at most promotionLag entries behind the commit
-// index.
+// caughtUp reports whether a learner has answered recently and is at most promotionLag entries
+// behind the commit index. Only a leader knows that.
 func (c *Core) caughtUp(id uint64) (enough bool) {
 	c.node.WithProgress(func(member uint64, _ raft.ProgressType, pr progress) {
 		if member == id && pr.RecentActive && pr.Match > 0 && pr.Match+promotionLag >= c.node.BasicStatus().Commit {
@@ -91,7 +91,7 @@
 }
 
 // votersWithout returns the number of voters other than the named process, and how many of them are
-// active.
+// active: they have answered this leader recently, or are this process.
 func (c *Core) votersWithout(name string) (remaining, active int) {
 	recent := map[uint64]bool{c.identity.ID: true}
 	c.node.WithProgress(func(id uint64, _ raft.ProgressType, pr progress) { recent[id] = recent[id] || pr.RecentActive })
--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -30,16 +30,17 @@
 )
 
 const (
-	// maxMessageBytes and maxInflightMessages bound what the raft library has in flight to each
-	// replica. maxUncommittedBytes bounds the uncommitted entries.
+	// maxMessageBytes bounds the entries in one message of the raft library, maxInflightMessages the
+	// unacknowledged messages to each replica, and maxUncommittedBytes the leader's uncommitted
+	// entries.
 	maxMessageBytes     = 2048
 	maxInflightMessages = 16
 	maxUncommittedBytes = 1 << 20
 )
 
 const (
-	maxCommandBytes  = 64 << 10
-	maxNameBytes     = 64
+	maxCommandBytes  = 64 << 10 // of a command passed to Propose
+	maxNameBytes     = 64       // of the name of a group or a process
 	maxInitialVoters = 9
 	// maxMachineBytes bounds the state of one machine in a snapshot.
 	maxMachineBytes = 150 << 10
--- a/internal/fleet/consensus/configuration.go
+++ b/internal/fleet/consensus/configuration.go
@@ -16,7 +16,7 @@
 type configuration struct {
 	names    map[uint64]string // names of the members, voters and learners, by identity
 	state    raftpb.ConfState
-	changing bool // whether a joint configuration is in force
+	changing bool // whether a joint configuration (of old and new voters) is in force
 }
 
 func newConfiguration() configuration { return configuration{names: map[uint64]string{}} }
@@ -29,7 +29,8 @@
 	return member
 }
 
-// isInitialMember reports whether id is the first identity of an initial voter and still a member.
+// isInitialMember reports whether id is a member and the identity of an initial voter that has never
+// lost its disk.
 func (g *configuration) isInitialMember(id uint64) bool { return isInitial(id) && g.contains(id) }
 
 func (g *configuration) isVoter(id uint64) bool { return slices.Contains(g.state.Voters, id) }
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -24,7 +24,7 @@
 	phase       Phase
 	failure     error // why the phase is Broken
 	identity    Identity
-	incarnation uint64      // random at each start; those of membership and ownership are times
+	incarnation uint64      // random at each start and never 0; unlike the incarnations of membership and ownership, not a time
 	recovered   StoredState // loaded at the start; startRaft passes the entries to raft and clears them
 
 	joining       joining
@@ -74,9 +74,9 @@
 	return c, nil
 }
 
-// recover restores the stored snapshot and increments the number of starts, unless the store is
-// known to be stale. Without an identity any stored state is from a bootstrap that did not
-// complete, and is discarded.
+// recover restores the stored snapshot, and increments and stores the number of starts. If the store
+// is known to be stale, the phase becomes Stale instead of the increment. State that is stored
+// without an identity is from a bootstrap that did not complete, and is ignored.
 func (c *Core) recover() error {
 	if c.identity.ID == 0 {
 		c.recovered = StoredState{}
@@ -97,8 +97,9 @@
 	return c.store.SaveIdentity(c.identity)
 }
 
-// Tick must be called every Config.TickInterval. It sends hellos while this process starts and
-// advances raft's timers once it runs.
+// Tick must be called every Config.TickInterval. It sends hellos, which ask the other voters what
+// they know of this process, while this process starts or is not a member. It advances raft's timers
+// once raft runs.
 func (c *Core) Tick(now Time) {
 	c.now = max(c.now, now)
 	c.joining.recordFirstTick(c.now)
@@ -154,8 +155,9 @@
 	return c.store.Close()
 }
 
-// becomeStale stops this replica until an operator replaces it. Staleness: the phase is stored,
-// since the peer whose answer revealed it (foundBy) may forget what it has received.
+// becomeStale stops this replica until an operator replaces it. foundBy is the peer whose answer
+// showed that the store is stale, and cause is what it showed. Staleness: the finding is stored, since
+// that peer may forget what it has received.
 func (c *Core) becomeStale(foundBy uint32, cause staleCause) {
 	c.identity.Stale = true
 	if !c.checkStored(c.store.SaveIdentity(c.identity)) {
@@ -165,7 +167,7 @@
 	c.effects.LogEvent("replica_stale", "reason", cause.String(), "by", fmt.Sprintf("%08x", foundBy))
 }
 
-// becomeBroken stops this replica after a failure.
+// becomeBroken stops this replica after a failure. Only the first failure is recorded and logged.
 func (c *Core) becomeBroken(err error) {
 	if c.phase == Broken {
 		return
--- a/internal/fleet/consensus/disk/open.go
+++ b/internal/fleet/consensus/disk/open.go
@@ -18,8 +18,8 @@
 // lockTimeout is how long Open waits for another process to close the file.
 const lockTimeout = 20 * time.Millisecond
 
-// Open opens a file, or creates it if it does not exist. Calls that save fail with ErrFull while
-// the file is larger than maxBytes. Open fails with ErrInUse, ErrUnreadable or an *fs.PathError.
+// Open opens a file, or creates it if it does not exist. Writes fail with ErrFull while the file is
+// larger than maxBytes. The error of Open wraps ErrInUse or ErrUnreadable, or is an *fs.PathError.
 func Open(path string, maxBytes int64) (s *Store, err error) {
 	// If the file is shorter than its header claims, access to a page faults. That must become an
 	// error instead of ending the process.
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// asUnreadable returns an error of the operating system unchanged, and any other as an
-// ErrUnreadable.
+// asUnreadable returns an error of the operating system unchanged, and any other wrapped in
+// ErrUnreadable with the path.
 func asUnreadable(path string, err error) error {
 	var system *fs.PathError
 	if errors.As(err, &system) {
@@ -82,8 +82,9 @@
 // was no space, or no permission to write.
 var recoverableErrors = []error{syscall.ENOSPC, syscall.EFBIG, syscall.EDQUOT, syscall.EROFS, syscall.EACCES, syscall.EPERM}
 
-// Recoverable reports whether the same process may open a store again after an error. After other
-// errors, in particular of a sync, a process may read from the page cache what is not on the disk.
+// Recoverable reports whether the same process may open a store again after err: the file is full or
+// in use, or the write left it unchanged. After another error, in particular of a sync, the process
+// might read from the page cache what is not on the disk.
 func Recoverable(err error) bool {
 	if errors.Is(err, ErrFull) || errors.Is(err, ErrInUse) {
 		return true
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -20,8 +20,8 @@
 	logTerm, logIndex uint64 // the last log entry that the replica must have
 }
 
-// joining holds the answers of other processes to this process's hellos, and the state from which
-// this process answers theirs.
+// joining holds the answers (welcome messages) of other processes to this process's hellos, and the
+// state from which this process answers theirs.
 type joining struct {
 	startedAt    Time                   // first tick or bootstrap; negative before the first tick
 	lastHello    Time                   // 0 before the first hello
@@ -45,7 +45,8 @@
 	}
 }
 
-// restart discards the answers, which refer to the identity before a bootstrap, and waits anew.
+// restart discards the answers and restarts the wait for other voters at now. It is called after a
+// bootstrap, since the earlier answers refer to a process without an identity.
 func (j *joining) restart(now Time) {
 	clear(j.answers)
 	j.startedAt = now
@@ -166,8 +167,8 @@
 	return nil
 }
 
-// staleCause returns the first cause that m shows for the store of this process to be stale, or
-// storeCurrent if m shows none.
+// staleCause returns why the store of this process is stale according to m, or storeCurrent if m does
+// not show that it is. If there are several causes, it returns the first.
 func (c *Core) staleCause(m welcome) staleCause {
 	lastIndex, lastTerm := c.recovered.lastEntry()
 	switch {
@@ -181,7 +182,9 @@
 	return storeCurrent
 }
 
-// tryStart completes the start once enough other voters have answered.
+// tryStart completes the start once enough other voters have answered. A process with an identity
+// starts raft. A process without one joins as a new replica if a voter knows a group or if it is no
+// initial voter itself; otherwise it bootstraps the group once all other voters have answered.
 func (c *Core) tryStart() {
 	others, answers := c.otherVoters(), c.joining.answers
 	hasGroup := false
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -35,8 +35,8 @@
 }
 
 // Confirm asks the voters whether this process still leads. If it does, Effects.Confirmed is called
-// with the tag; if not, it is never called. Confirm returns ErrNotLeader if this process does not
-// lead as far as it knows.
+// with the tag. If it does not, or a message is lost, Effects.Confirmed is not called. Confirm returns
+// ErrNotLeader if this process does not lead as far as it knows.
 func (c *Core) Confirm(now Time, tag uint64) error {
 	c.now = max(c.now, now)
 	if _, ok := c.Leading(); !ok {
@@ -83,8 +83,8 @@
 	}
 }
 
-// mostUpToDate returns the active voter other than this process that has most of the log, or 0 if
-// none is active.
+// mostUpToDate returns the identity of the active voter, other than this process, that has most of
+// the log, or 0 if none is active.
 func (c *Core) mostUpToDate() (best uint64) {
 	match := uint64(0)
 	c.node.WithProgress(func(id uint64, kind raft.ProgressType, pr progress) {
--- a/internal/fleet/consensus/memory.go
+++ b/internal/fleet/consensus/memory.go
@@ -16,14 +16,14 @@
 // restored from a backup.
 type MemoryStore struct {
 	SkipSync    bool  // injected fault that breaks durability: a crash loses what was saved
-	InjectedErr error // returned by Load and each call that saves, unless nil
+	InjectedErr error // returned by Load and each write, unless nil
 
 	stored StoredState
 	synced *StoredState // state that a crash leaves, with SkipSync; nil if a crash loses nothing
 	closed bool
 }
 
-// entriesAfter returns the entries after an index.
+// entriesAfter returns the entries whose index is greater than index.
 func entriesAfter(entries []raftpb.Entry, index uint64) []raftpb.Entry {
 	n := 0
 	for n < len(entries) && entries[n].Index <= index {
@@ -75,7 +75,7 @@
 	m.closed = true
 }
 
-// Copy returns a copy of the stored state, as a backup would hold it.
+// Copy returns a copy of the stored state, such as a backup contains.
 func (m *MemoryStore) Copy() StoredState { return cloneState(m.stored) }
 
 // Restore replaces all that was saved by s, which Copy returned.
--- a/internal/fleet/consensus/message.go
+++ b/internal/fleet/consensus/message.go
@@ -115,8 +115,8 @@
 
 // proposal is a command as the log stores it.
 type proposal struct {
-	tag     uint64
-	machine byte
+	tag     uint64 // passed to Effects.Applied with the result
+	machine byte   // number of the state machine that applies the command
 	command []byte
 }
 
@@ -135,7 +135,7 @@
 
 // changeContext is stored in the log with a change of the configuration.
 type changeContext struct {
-	tag  uint64
+	tag  uint64 // passed to Effects.Applied once the change is applied
 	name string // name of the process that the change adds or removes
 }
 
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// apply applies a committed entry.
+// apply applies a committed entry: a command or a change of the configuration.
 func (c *Core) apply(e *raftpb.Entry) {
 	c.applied.index, c.applied.term = e.Index, e.Term
 	switch e.Type {
@@ -214,8 +214,8 @@
 	}
 }
 
-// applyChange applies a committed change of the configuration. An entry without changes ends a
-// joint configuration.
+// applyChange applies a committed change of the configuration. An entry without changes, which the
+// raft library appends itself, ends a joint configuration and is not reported.
 func (c *Core) applyChange(change raftpb.ConfChangeV2) {
 	context := decodeChangeContext(change.Context)
 	c.configuration.apply(*c.node.ApplyConfChange(change), change.Changes, context.name)
--- a/internal/fleet/consensus/snapshot.go
+++ b/internal/fleet/consensus/snapshot.go
@@ -24,8 +24,9 @@
 	a.index, a.term, a.snapshotIndex = m.Index, m.Term, m.Index
 }
 
-// currentSnapshots is a raft.Storage that returns snapshots of the current state. A member that was
-// added after an older snapshot would reject it, since that does not name the member.
+// currentSnapshots is a raft.Storage that returns snapshots of the current state instead of the last
+// stored one. A member that was added later would reject the stored snapshot, which does not name
+// that member.
 type currentSnapshots struct {
 	*raft.MemoryStorage
 	core *Core
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -9,8 +9,9 @@
 // PeerID returns the number that identifies a process in messages.
 func PeerID(name string) uint32 { return group.Peer(name) }
 
-// VoterID returns the identity of a replica in raft. A process that lost its disk returns as
-// another replica, with another nonce. The initial voters have nonce 0.
+// VoterID returns the identity of a replica in raft: nonce in the upper 32 bits, the process's PeerID
+// in the lower. A process that lost its disk becomes another replica, with another nonce. The
+// initial voters have nonce 0.
 func VoterID(name string, nonce uint32) uint64 { return uint64(nonce)<<32 | uint64(PeerID(name)) }
 
 // peerOf returns the peer of the process that has a replica's identity.
@@ -19,14 +20,14 @@
 // isInitial reports whether id is the first identity of an initial voter.
 func isInitial(id uint64) bool { return id>>32 == 0 }
 
-// Store persists the state that a replica must not lose. What a call saves is durable once the call
-// returns without an error. After an error only Close may be called.
+// Store persists the state that a replica must not lose. A write is durable once the method returns
+// without an error. After an error only Close may be called.
 type Store interface {
 	// Load returns the stored state, which is zero in a new store.
 	Load() (StoredState, error)
 	// SaveIdentity stores the identity of the replica.
 	SaveIdentity(Identity) error
-	// SaveStartRecord stores the last known start of replica id.
+	// SaveStartRecord stores the last known start of the replica with identity id.
 	SaveStartRecord(id uint64, s StartRecord) error
 	// Save stores a hard state, entries and a snapshot, except those that are empty. The entries
 	// replace all stored entries from the index of the first one on.
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -14,7 +14,7 @@
 	// GiveUpAfter is how long an unacknowledged message is retransmitted.
 	GiveUpAfter = Time(3e9) // 3 s
 
-	minPieceBytes  = 16        // minimum of Transport.pieceBytes, even if maxDatagram allows less
+	minPieceBytes  = 16        // minimum length of a piece other than the last, even if maxDatagram allows less
 	piecesPerBurst = 24        // pieces of a message that are sent at a time
 	burstInterval  = Time(4e7) // 40 ms between two bursts of a message
 	maxOutgoing    = 4         // unacknowledged long messages to a peer
@@ -49,12 +49,12 @@
 	AbandonedMessages  int // long messages that were not acknowledged in time or were replaced by newer ones
 
 	effects      Effects
-	incarnation  uint32 // distinguishes messages of this process from those of an earlier one
-	lastSequence uint32 // sequence number of the last long message sent
-	pieceBytes   int    // length of each piece but the last
-	peers        map[uint32]*peerState
-	peerIDs      []uint32 // sorted, since runs that send in the random order of a map can't be replayed
-	buffer       []byte   // for the datagram that is being sent
+	incarnation  uint32                // distinguishes messages of this process from those of an earlier one
+	lastSequence uint32                // sequence number of the last long message (of several pieces) sent
+	pieceBytes   int                   // length of each piece but the last
+	peers        map[uint32]*peerState // by member ID
+	peerIDs      []uint32              // sorted, since runs that send in the random order of a map can't be replayed
+	buffer       []byte                // for the datagram that is being sent
 }
 
 // New returns a Transport. maxDatagram is the length of the longest datagram to send, in bytes.
--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -5,11 +5,11 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// drillCheckpointInterval is how many numbers a drill sends between two checkpoints.
+// drillCheckpointInterval is how many numbers a drill sends from one checkpoint to the next.
 const drillCheckpointInterval = 10
 
-// Drill is a job that only sends an increasing number to every member. Operators use it to test the
-// ownership of jobs before anything depends on it.
+// Drill is a job that only sends an increasing number to every member. Operators use it to test that
+// each job has one owner at a time before anything depends on that.
 type Drill struct {
 	Interval Time // between two numbers, in nanoseconds
 	// EffectReceived is called with each effect that this process applies. It may be nil.
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -2,7 +2,10 @@
 // list of hosts that operators have suspended fleet-wide, and MigrationPermits limits the rate at
 // which all proxies together migrate clients. Drill tests the ownership of jobs. Packages rules and
 // quota implement further jobs, Publisher and Issuer. Each job has an owner's part, which runs at
-// its owner, and a receiver's part, which runs at every process. Jobs do no I/O and read no clock.
+// its owner, and a receiver's part, which runs at every process. An owner holds a lease and a token,
+// which is higher than those of earlier owners. It acts on the fleet by effects: messages that carry
+// its token, so that the fence of a receiver can reject those of a stale owner. Jobs do no I/O and
+// read no clock.
 package jobs
 
 import (
@@ -33,9 +36,9 @@
 	// SendEffect sends an effect to a receiver, with the owner's token and number as the sequence of
 	// its fencing token. It sends nothing once the lease has ended.
 	SendEffect(to uint32, number uint64, body []byte)
-	// StoreCheckpoint asks the group to store a checkpoint under a number, which must increase. The
-	// result is passed to Job.CheckpointStored. It returns an error if the lease has ended or the
-	// checkpoint is longer than ownership.MaxCheckpointBytes.
+	// StoreCheckpoint asks the replicated group to store a checkpoint under a number, which must
+	// increase. The result is passed to Job.CheckpointStored. StoreCheckpoint returns an error if the
+	// lease has ended or the checkpoint is longer than ownership.MaxCheckpointBytes.
 	StoreCheckpoint(number uint64, checkpoint []byte) error
 	// Reply replies to the query with this tag.
 	Reply(to uint32, tag uint64, body []byte)
@@ -62,7 +65,8 @@
 	QueryReceived(now Time, from uint32, tag uint64, body []byte)
 	// EffectAcknowledged reports a receiver's verdict on an effect.
 	EffectAcknowledged(now Time, from uint32, token ownership.FencingToken, v ownership.Verdict)
-	// CheckpointStored reports whether the group has stored or rejected a checkpoint.
+	// CheckpointStored is called once the group has stored a checkpoint, or with stored false if it
+	// has rejected it.
 	CheckpointStored(now Time, checkpointNumber uint64, stored bool)
 	// ApplyEffect applies an effect that the fence of this process has accepted.
 	ApplyEffect(now Time, token ownership.FencingToken, body []byte)
--- a/internal/fleet/jobs/migrationpacer.go
+++ b/internal/fleet/jobs/migrationpacer.go
@@ -7,9 +7,9 @@
 // maxPermitsPerQuery is the maximum number of permits that one query requests.
 const maxPermitsPerQuery = 64
 
-// MigrationPacer decides when a proxy may migrate clients, so that all proxies together keep to a
-// rate. It uses permits that the owner of MigrationPermits grants, or a share of the rate while no
-// owner replies.
+// MigrationPacer decides when a proxy may migrate clients to another host, so that all proxies
+// together keep to a rate. It uses permits that the owner of the job MigrationPermits grants, each
+// for one migration, or an equal share of the rate while no owner replies.
 type MigrationPacer struct {
 	Rate      float64 // migrations per second, fleet-wide
 	FleetSize int     // intended number of proxies in the fleet
@@ -19,11 +19,11 @@
 
 	lastTag        uint64
 	pendingQueries map[uint64]Time // when the queries without a reply were sent, by tag
-	permits        []permitBatch
-	shareTokens    float64 // migrations allowed by this proxy's share of the rate; at most 1
-	shareFilledAt  Time    // when shareTokens was last updated
-	ownerReplied   bool    // whether an owner has ever replied
-	lastReplyAt    Time    // time of the last reply
+	permits        []permitBatch   // oldest first
+	shareTokens    float64         // migrations allowed by this proxy's share of the rate; at most 1
+	shareFilledAt  Time            // when shareTokens was last updated
+	ownerReplied   bool            // whether an owner has ever replied
+	lastReplyAt    Time            // time of the last reply
 }
 
 // permitBatch holds the unused permits of one reply.
@@ -62,8 +62,9 @@
 	return used
 }
 
-// useOwnShare allows at most one migration while no owner replies. Each proxy then keeps to an equal
-// share of the rate, and accumulates at most one migration.
+// useOwnShare returns 1 if want is positive and this proxy's share of the rate allows a migration
+// now, and 0 otherwise. The share is used only while no owner replies, and at most one migration
+// accumulates.
 func (p *MigrationPacer) useOwnShare(now Time, want int) (used int) {
 	if p.ownerReplied && now-p.lastReplyAt <= silentAfter {
 		p.shareTokens = 0
@@ -79,8 +80,8 @@
 	return used
 }
 
-// queryOwner requests permits. It does nothing while a query is pending whose permits would not have
-// expired yet.
+// queryOwner requests want permits, at most maxPermitsPerQuery. It does nothing if there is no owner
+// to query, or while a query without a reply is not older than permitLifetime.
 func (p *MigrationPacer) queryOwner(now Time, want int) {
 	for tag, at := range p.pendingQueries {
 		if now-at > permitLifetime {
@@ -100,7 +101,8 @@
 }
 
 // ReplyReceived adds the permits of a reply. Their lifetime starts with the query, so that they
-// expire here before the owner considers them expired.
+// expire here before the owner considers them expired. It ignores malformed replies, replies to
+// unknown queries, and replies whose permits have expired.
 func (p *MigrationPacer) ReplyReceived(now Time, tag uint64, body []byte) {
 	queriedAt, pending := p.pendingQueries[tag]
 	r := encoding.Reader{Data: body}
--- a/internal/fleet/jobs/suspendcommand.go
+++ b/internal/fleet/jobs/suspendcommand.go
@@ -65,7 +65,8 @@
 // ListCommand returns the query for the hosts that are suspended fleet-wide.
 func ListCommand() []byte { return hostCommand{kind: commandList}.encode() }
 
-// hostList holds the IDs of the suspended hosts, sorted.
+// hostList holds the IDs of the suspended hosts, which operators have excluded from new requests,
+// sorted.
 type hostList []string
 
 // apply returns the list after a command. It reports false, with the list unchanged, if the list
@@ -93,8 +94,8 @@
 	return w.Data
 }
 
-// decodeHostList decodes a list. Empty data, the checkpoint of a job that never had an owner,
-// decode to an empty list.
+// decodeHostList decodes a list. It returns nil for empty data, which is the checkpoint of a job that
+// never had an owner, and an error for a list that is malformed or not sorted.
 func decodeHostList(data []byte) (hostList, error) {
 	if len(data) == 0 {
 		return nil, nil
--- a/internal/fleet/jobs/suspendedhosts.go
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -32,7 +32,7 @@
 	listNumber       uint64 // of the current list, its checkpoint and its effects; increases with each command
 	storedListNumber uint64 // highest list number that the group has stored
 	hosts            hostList
-	acknowledged     map[receiver]uint64 // number of the latest list that each receiver has applied
+	acknowledged     map[receiver]uint64 // number of the latest list that each receiver has applied; 0 if none
 	sentAt           map[receiver]Time   // when a list was last sent to each receiver; 0 if never
 	waiting          []*waitingCommand   // the oldest first
 }
@@ -73,9 +73,9 @@
 	return h.listNumber, h.hosts.encode()
 }
 
-// QueryReceived executes an operator's command. It stores the list, which is then sent, even if the
-// command does not change it: the answer reports which members have the list, and the group stores a
-// list only for an owner that is not stale.
+// QueryReceived executes an operator's command. Even if the command does not change the list, the
+// list gets a new number, and is stored and then sent. That way the answer reports which members have
+// the list, and shows that this owner is not stale, since the group stores nothing for a stale owner.
 func (h *SuspendedHosts) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	if h.owner == nil {
 		return
--- a/internal/fleet/namespace/assignment.go
+++ b/internal/fleet/namespace/assignment.go
@@ -10,13 +10,14 @@
 // assignment is the compiled form of Assignment: the pool of each host, the account of each tenant,
 // and the limits of each account.
 type assignment struct {
+	// Names of pools, by the host ID, prefix of the host ID, kind and zone that the pools name.
 	poolOfHost, poolOfPrefix, poolOfKind, poolOfZone map[string]string
 
-	prefixLengths   []int // of the keys of poolOfPrefix, longest first
-	pools           map[string]bool
-	accounts        map[string]*Account // by name; empty settings are filled in from the parent
-	accountOfTenant map[string]string
-	reserved        map[string]reservations // by parent
+	prefixLengths   []int                   // of the keys of poolOfPrefix, longest first
+	pools           map[string]bool         // names of all pools
+	accounts        map[string]*Account     // by name; "" is the operators; empty settings are filled in from the parent
+	accountOfTenant map[string]string       // name of the deepest account that names a tenant
+	reserved        map[string]reservations // by name of the parent
 }
 
 // reservations is the sum of what an account's children reserve.
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// sortPrefixLengths sets prefixLengths from the added pools.
+// sortPrefixLengths sets prefixLengths to the different lengths of the added prefixes, longest first.
 func (a *assignment) sortPrefixLengths() {
 	for p := range a.poolOfPrefix {
 		a.prefixLengths = append(a.prefixLengths, len(p))
@@ -86,9 +87,9 @@
 	slices.Reverse(a.prefixLengths)
 }
 
-// addAccount adds an account whose parent has been added. It rejects an account that has more than
-// its parent in any respect, so that customers who may delegate cannot give away more than they
-// have.
+// addAccount adds an account. It rejects an account whose parent has not been added, or that has
+// more than its parent in any respect, so that customers who may create accounts below their own
+// cannot give away more than they have.
 func (a *assignment) addAccount(account Account) error {
 	parts := strings.Split(account.Name, "/")
 	if len(parts) > MaxDepth || slices.ContainsFunc(parts, func(s string) bool { return !validName(s) }) {
@@ -164,8 +165,9 @@
 	return nil
 }
 
-// restrictLimits rejects limits above the parent's and reservations above what the parent has
-// reserved. An account without a limit gets the parent's.
+// restrictLimits rejects a limit above the parent's, a reservation above the account's limit, and
+// reservations of the parent's children that together exceed what the parent has reserved. A
+// top-level account may reserve any part of its limit. An account without a limit gets the parent's.
 func (a *assignment) restrictLimits(account, parent *Account) error {
 	reserved := a.reserved[parent.Name]
 	for _, l := range []struct {
@@ -193,8 +195,8 @@
 	return nil
 }
 
-// restrictCounts rejects numbers of routes and changes above the parent's. An account without them
-// gets the parent's.
+// restrictCounts rejects a maximum number of routes, or of changes per minute, above the parent's.
+// An account for which such a number is 0 gets the parent's.
 func restrictCounts(account, parent *Account) error {
 	for _, n := range []struct {
 		name         string
@@ -223,7 +225,8 @@
 	return nil
 }
 
-// pool returns the name of the pool that a host is in.
+// pool returns the name of the pool that a host is in: the one that names its ID, else the longest
+// matching prefix of the ID, else its kind, else its zone, else MainPool.
 func (a *assignment) pool(host, kind, zone string) string {
 	if p, found := a.poolOfHost[host]; found {
 		return p
--- a/internal/fleet/namespace/compile.go
+++ b/internal/fleet/namespace/compile.go
@@ -11,17 +11,18 @@
 // concurrent use.
 type Compiled struct {
 	current  *assignment
-	previous *assignment // nil if nothing is being reassigned
-	accounts map[string]*compiledAccount
+	previous *assignment                 // nil if nothing is being reassigned
+	accounts map[string]*compiledAccount // by name; "" is the operators
 }
 
-// compiledAccount is an account with the namespaces that apply to it, the operators' first.
+// compiledAccount is an account with the namespaces that apply to it: its own and those of the
+// accounts above it.
 type compiledAccount struct {
 	name         string
 	hash         uint64 // of the name
 	settings     *Account
-	chain        []*compiledNamespace
-	defaultRoute *compiledRoute // applies if no route matches
+	chain        []*compiledNamespace // the namespaces that exist, the operators' first and the account's own last
+	defaultRoute *compiledRoute       // applies if no route matches
 }
 
 // compiledNamespace is a namespace with an index for each list of routes.
@@ -66,7 +67,7 @@
 	return c, nil
 }
 
-// compileAccount returns an account with the namespaces of its chain.
+// compileAccount returns an account with those of the namespaces (by account name) that apply to it.
 func compileAccount(name string, account *Account, namespaces map[string]*compiledNamespace) *compiledAccount {
 	a := &compiledAccount{
 		name:         name,
@@ -126,8 +127,9 @@
 	return c, nil
 }
 
-// invalidRouteReason returns why a route is invalid, or "" if it is valid, and adds its name to
-// names.
+// invalidRouteReason returns why a route is invalid, or "" if it is valid. names holds the names of
+// the namespace's earlier routes; the route's name is added to it. A nil owner means that the pools
+// and classes of the route are not checked.
 func (a *assignment) invalidRouteReason(owner *Account, r *Route, names map[string]bool) string {
 	if names[r.Name] {
 		return "its name is taken"
@@ -139,8 +141,8 @@
 	return a.forbiddenReason(owner, r)
 }
 
-// forbiddenReason returns which pool or class of a route does not exist or is not allowed for its
-// account, or "" if all are allowed.
+// forbiddenReason returns which pool or class of a route does not exist or is not allowed for the
+// account owner. It returns "" if all are allowed, if owner is nil, or if the route rejects requests.
 func (a *assignment) forbiddenReason(owner *Account, r *Route) string {
 	if owner == nil || r.Refuse {
 		return ""
--- a/internal/fleet/namespace/evaluate.go
+++ b/internal/fleet/namespace/evaluate.go
@@ -11,10 +11,10 @@
 type Request struct {
 	Tenant string `json:"Tenant"`
 	Class  string `json:"Class"`
-	Key    string `json:"Key"`
-	Group  string `json:"Group"`
+	Key    string `json:"Key"`    // of the flow, the requests that belong together; routes compare a prefix and a hash of it
+	Group  string `json:"Group"`  // of clients that are placed together
 	Zone   string `json:"Zone"`   // of the proxy
-	Minute int    `json:"Minute"` // of the day, UTC
+	Minute int    `json:"Minute"` // minutes since midnight UTC
 }
 
 func (q *Request) matchKey() matchKey { return matchKey{q.Group, q.Key, q.Class, q.Zone} }
@@ -39,7 +39,8 @@
 const reassignedRetryAfter = 500 * time.Millisecond
 
 // Evaluate finds the account of a request, and then the deciding route among those that apply to
-// that account.
+// that account. It rejects the request if its tenant is being reassigned, or if the account may not
+// use its class.
 func (c *Compiled) Evaluate(q Request) Verdict {
 	name := c.current.accountOfTenant[q.Tenant]
 	a := c.accounts[name]
@@ -84,9 +85,9 @@
 // differ in few bits.
 const shareHashFactor = 0x9e3779b97f4a7c15
 
-// share returns the position of a flow's key among all flows of the account, from 0 up to but not
-// including WholeShare. It is the same at every proxy and in every version, so that a flow does not
-// change pools when the version changes.
+// share returns a hash of a flow's key and the account's name, from 0 up to but not including
+// WholeShare; a route with a share matches a range of it. The hash is the same at every proxy and in
+// every rules version, so that a flow does not change pools when the version changes.
 func (a *compiledAccount) share(key string) uint16 {
 	return uint16((xxhash.Sum64String(key) ^ a.hash) * shareHashFactor >> 32 * WholeShare >> 32)
 }
--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -10,9 +10,9 @@
 // routeIndex finds the routes of one list by their conditions. A search costs one map lookup per
 // condition set, independent of the number of routes.
 type routeIndex struct {
-	conditionSets []conditionSet // most specific first
-	firstByKey    map[matchKey]int32
-	routes        []compiledRoute // routes with the same key are adjacent, the most specific first
+	conditionSets []conditionSet     // most specific first
+	firstByKey    map[matchKey]int32 // index in routes of the first route with a key
+	routes        []compiledRoute    // routes with the same key are adjacent, the most specific first
 }
 
 // compiledRoute is a route with values derived from it. The embedded Route is nil in an account's
@@ -32,7 +32,7 @@
 // conditionSet records which conditions a route has.
 type conditionSet struct {
 	group, class, zone bool
-	prefixBytes        uint8
+	prefixBytes        uint8 // length of the key prefix; 0 if the route has none
 }
 
 func (r *Route) matchKey() matchKey { return matchKey{r.Group, r.Prefix, r.Class, r.Zone} }
@@ -80,8 +80,8 @@
 	return cmp.Or(toInt(o.group)-toInt(s.group), int(o.prefixBytes)-int(s.prefixBytes), toInt(o.class)-toInt(s.class), toInt(o.zone)-toInt(s.zone))
 }
 
-// secondarySpecificity returns how specific a route is beyond its key. A window counts more than a
-// share.
+// secondarySpecificity returns how specific a route is beyond its match key, from 0 to 3. A window
+// (time of day) counts 2 and a share of the flows 1.
 func (r *Route) secondarySpecificity() (n int) {
 	if r.hasWindow() {
 		n += 2
@@ -196,7 +196,8 @@
 	return nil
 }
 
-// find returns the most specific route that matches, or nil if there is none.
+// find returns the most specific route that matches a request with this key, share (as
+// compiledAccount.share returns it) and minute of the day, or nil if there is none.
 func (x *routeIndex) find(k matchKey, share uint16, minute int) *compiledRoute {
 	return x.firstMatch(k, func(r *compiledRoute) bool { return r.matchesShareAndTime(share, minute) })
 }
--- a/internal/fleet/namespace/namespace.go
+++ b/internal/fleet/namespace/namespace.go
@@ -51,7 +51,7 @@
 type Pool struct {
 	Name     string   `cbor:"1,keyasint"`
 	Hosts    []string `cbor:"2,keyasint,omitempty"`
-	Prefixes []string `cbor:"3,keyasint,omitempty"`
+	Prefixes []string `cbor:"3,keyasint,omitempty"` // of host IDs
 	Kinds    []string `cbor:"4,keyasint,omitempty"`
 	Zones    []string `cbor:"5,keyasint,omitempty"`
 }
--- a/internal/fleet/namespace/route.go
+++ b/internal/fleet/namespace/route.go
@@ -16,9 +16,9 @@
 	Prefix string `cbor:"3,keyasint,omitempty"` // of the flow's key
 	Class  string `cbor:"4,keyasint,omitempty"`
 	Zone   string `cbor:"5,keyasint,omitempty"` // of the proxy
-	// ShareFrom and ShareTo select the flows whose hash is in [ShareFrom, ShareTo). The hash of the
-	// key is the same at every proxy and in every version. If both are 0, the route matches all
-	// flows.
+	// ShareFrom and ShareTo select the flows for which a hash of the account and the flow's key, from
+	// 0 to WholeShare, is in [ShareFrom, ShareTo). The hash is the same at every proxy and in every
+	// rules version. If both are 0, the route matches all flows.
 	ShareFrom uint16 `cbor:"6,keyasint,omitempty"` // hundredths of a percent
 	ShareTo   uint16 `cbor:"7,keyasint,omitempty"`
 	// WindowBegin and WindowEnd bound a time of day in UTC. The window may span midnight. If both
@@ -82,7 +82,8 @@
 	return minute >= int(r.WindowBegin) || minute < int(r.WindowEnd)
 }
 
-// unmetConditions returns the names of the conditions that a request does not meet.
+// unmetConditions returns the names of the conditions that a request does not meet. k holds the
+// request's attributes, share the hash of its flow, and minute the minute of the day.
 func (r *Route) unmetConditions(k matchKey, share uint16, minute int) (names []string) {
 	for _, c := range []struct {
 		name  string
--- a/internal/fleet/namespace/settings.go
+++ b/internal/fleet/namespace/settings.go
@@ -39,8 +39,8 @@
 
 func isNonEmpty(s string) bool { return s != "" }
 
-// BindRoutes registers the three lists of routes of a namespace, and reports an invalid route at
-// its place in the file.
+// BindRoutes registers the three lists of routes of a namespace and sets them in s. If the namespace
+// is invalid, it adds a fault at the invalid route, or to f if no single route is at fault.
 func BindRoutes(f *settings.FieldSet, s *Namespace) {
 	fieldSets := map[string]*settings.FieldSet{} // by the label of the route
 	for _, list := range []struct {
@@ -97,8 +97,8 @@
 	f.Text("end", "end of the time of day, UTC", "a time such as 06:00", &clock, parseMinute(&r.WindowEnd))
 }
 
-// parseMinute returns a function that parses a time of day such as 22:00 and stores the minutes
-// since midnight.
+// parseMinute returns a function that parses a time of day such as 22:00, stores the minutes since
+// midnight in to, and reports whether the text is valid.
 func parseMinute(to *uint16) func(string) bool {
 	return func(s string) bool {
 		t, err := time.Parse("15:04", s)
@@ -169,15 +169,17 @@
 	return g
 }
 
-// bindCount registers a number from 0 to math.MaxInt32.
+// bindCount registers a number from 0 to math.MaxInt32, whose default is the value that to points
+// to, and stores it there.
 func bindCount(f *settings.FieldSet, name, doc string, to *uint32) {
 	n := int(*to)
 	f.Int(name, doc, &n, 0, math.MaxInt32)
 	*to = uint32(n)
 }
 
-// bindNames registers a list of names in one text. The names are sorted, except those of pools,
-// whose first one is the default pool.
+// bindNames registers a list of different names, separated by blanks in one text, and stores it in
+// to. The names are sorted, except in the field "pools", whose first name is the account's default
+// pool.
 func bindNames(f *settings.FieldSet, name, doc string, to *[]string) {
 	f.Text(name, doc, "names separated by spaces", new(string), func(s string) bool {
 		*to = strings.Fields(s)
--- a/internal/fleet/owneragent/adminsocket.go
+++ b/internal/fleet/owneragent/adminsocket.go
@@ -25,8 +25,8 @@
 	requestTimeout = 4 * time.Second
 	// replyMargin is added to requestTimeout for the deadline of a connection, to write the reply.
 	replyMargin    = time.Second
-	dialTimeout    = 2 * time.Second
-	maxConnections = 8 // served at a time
+	dialTimeout    = 2 * time.Second // for SendRequest to connect
+	maxConnections = 8               // served at a time
 )
 
 // adminSocket serves operators at a Unix socket. The goroutine that accepts connections ends when
@@ -34,7 +34,7 @@
 type adminSocket struct {
 	listener        net.Listener
 	handle          func(Request) Reply
-	connectionLimit chan struct{} // holds one value for each connection
+	connectionLimit chan struct{} // holds one value for each connection that is being served
 }
 
 // listenAdmin starts to serve a Unix socket that only the user of this process may use.
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -1,7 +1,9 @@
-// Package owneragent runs package ownership in a process. It provides the section (owners ...) of
-// the settings file, a worker goroutine that runs the replicated group, its store and the jobs
-// beside the event loop, the transport of their messages, and the socket for operators' requests.
-// The decisions are made by packages ownership, consensus, jobs, rules and quota.
+// Package owneragent runs package ownership in a process: a replicated group of voters decides which
+// process of the fleet owns each job, the work that only one process does at a time. The package
+// provides the section (owners ...) of the settings file, a worker goroutine that runs the group, its
+// store and the jobs beside the event loop, the transport of their messages, and the socket for
+// operators' requests. The decisions are made by packages ownership, consensus, jobs, rules and
+// quota.
 package owneragent
 
 import (
@@ -109,7 +111,8 @@
 	}
 }
 
-// now returns the monotonic clock of the core, the jobs and the transport in nanoseconds, above 0.
+// now returns the nanoseconds since the start of the agent, plus 1 since 0 means "never" in the jobs.
+// It is the monotonic clock of the core, the jobs and the transport.
 func (a *Agent) now() int64 { return int64(time.Since(a.startedAt)) + 1 }
 
 // refreshView passes the members of the fleet to the worker each viewInterval until the worker
@@ -146,7 +149,8 @@
 	return append(members, jobs.Member{Name: a.name, Peer: group.Peer(a.name), Incarnation: a.incarnation, Present: true})
 }
 
-// countUnheard returns, by member name, how many members that have not left do not hear that member.
+// countUnheard returns, by member name, how many members that have not left report that no datagrams
+// of that member reach them.
 func (a *Agent) countUnheard(view []memberagent.ViewMember) map[string]int {
 	names := map[uint32]string{}
 	for _, m := range view {
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -23,7 +23,7 @@
 	agent   *Agent
 	byName  map[string]jobs.Job
 	names   []string          // keys of byName, sorted
-	owned   map[string]uint64 // tokens of the jobs that this process owns
+	owned   map[string]uint64 // by name of the jobs that this process owns: the token of the ownership, which is never 0
 	members []jobs.Member     // as of the last refreshView
 }
 
@@ -78,8 +78,9 @@
 	return checkpointNumber, checkpoint
 }
 
-// callJob calls f with a job. If f panics, the panic is logged, and the job is released if this
-// process owns it under token. A zero token means that f does not run the owner's part.
+// callJob calls f with a job, or does nothing if the job is unknown. If f panics, the panic is counted
+// and logged, and the job is released if this process owns it under token. With a zero token the job
+// is not released: f does not run the owner's part, or the job is being stopped.
 func (r *jobRunner) callJob(name string, token uint64, f func(j jobs.Job)) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/fleet/owneragent/leave.go
+++ b/internal/fleet/owneragent/leave.go
@@ -16,9 +16,10 @@
 	left    bool     // whether this process has left
 }
 
-// Leave releases all jobs and the leadership of the group, then stops the agent and calls done on
-// the loop. It does so once the coordinator has taken back the jobs, or after leaveTimeout. If a is
-// nil or has left already, it calls done at once. Stop, in contrast, releases nothing.
+// Leave releases all jobs. Once the coordinator, the leader of the group, has taken them back, Leave
+// also transfers the leadership if this process has it, stops the agent and calls done on the loop.
+// After leaveTimeout it stops the agent and calls done in any case. If a is nil or has left already,
+// it calls done at once. Stop, in contrast, releases nothing.
 func (a *Agent) Leave(done func()) {
 	if a == nil || a.leaveState.left {
 		done()
--- a/internal/fleet/owneragent/queries.go
+++ b/internal/fleet/owneragent/queries.go
@@ -1,6 +1,7 @@
 package owneragent
 
-// maxPendingQueries is the number of later tags after which a source drops a query without a reply.
+// maxPendingQueries bounds the age of a source's query without a reply: the source drops the query
+// once the process has used more than this many later tags.
 const maxPendingQueries = 64
 
 // queries tracks the queries to owners of jobs and to the coordinator that have no reply yet. Each
--- a/internal/fleet/owneragent/quota.go
+++ b/internal/fleet/owneragent/quota.go
@@ -55,8 +55,8 @@
 func (a *Agent) IsLimited(account string) bool { return a.rules.enforcer.IsLimited(account) }
 
 // Acquire requests one more connection of an account, for which IsLimited has reported true. It
-// calls done on the loop with the limit that is exceeded, or "" if the connection is granted, and
-// the Retry-After, which jitter (0 to 1) varies.
+// calls done on the loop with the name of the limit that is exceeded, or "" if the connection is
+// granted, and with the Retry-After of a rejected request, which jitter (0 to 1) varies.
 func (a *Agent) Acquire(account string, jitter float64, done func(exceeded string, retryAfter time.Duration)) {
 	// RetryWaiting rejects the requests that no issuer has answered by then.
 	a.loop.After(acquireTimeout, a.quota.client.RetryWaiting)
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -17,8 +17,8 @@
 	// again. Usually this process replaces the other one.
 	storeInUseRetryDelay = 200 * time.Millisecond
 
-	// clockOrigin is the start of 2020 in hundredths of a second since 1970. Epochs start from the
-	// time since then, which is small enough to leave bits for tokens.
+	// clockOrigin is the start of 2020 in hundredths of a second since 1970. The epochs of a group in
+	// memory start from the time since then, which is small enough to leave bits for tokens.
 	clockOrigin = 157783680000
 )
 
@@ -67,7 +67,7 @@
 	group   ownership.Group // nil if there is no replica
 	voter   Voter           // the same replica if it is on disk, whether it votes or not; otherwise nil
 	failure string          // why the replica can't be opened or used; empty if it can
-	retryAt time.Time       // when the store is opened again; zero means not before a restart
+	retryAt time.Time       // when the store is opened again; zero if no retry is due before a restart of the process
 }
 
 func newReplica(o Options, name string, table *ownership.Table, effects group.Effects) *replica {
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -16,7 +16,7 @@
 	Leader        string            `json:"leader,omitempty"` // name of the coordinator
 	Kind          string            `json:"kind,omitempty"`   // where a voter keeps its state: memory or disk
 	Store         string            `json:"store,omitempty"`  // why the replica can't be used; empty if it can
-	Jobs          []JobRow          `json:"jobs,omitempty"`   // the table; only at members with a replica
+	Jobs          []JobRow          `json:"jobs,omitempty"`   // all jobs of the fleet; only at members with a replica
 	Group         *group.Status     `json:"group,omitempty"`  // only at members with a replica on disk
 	Counts        *Counts           `json:"counts,omitempty"`
 	Owned         map[string]uint64 `json:"mine,omitempty"` // tokens of the jobs that this process owns
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -13,7 +13,7 @@
 // on.
 type RulesOptions struct {
 	Enabled       bool          // whether requests are evaluated by the rules; default false
-	LeaseDuration time.Duration // bound on how long two proxies act by contradictory rules; default 3 s
+	LeaseDuration time.Duration // of the lease to act by a version, and so the bound on how long two proxies act by contradictory rules; default 3 s
 	OnLeaseLapse  string        // what a proxy does when its lease has lapsed: "refuse" (default) or "keep"
 	MaxEntries    int           // maximum entries of a version that this proxy accepts; default rules.MaxEntries
 }
--- a/internal/fleet/owneragent/worker.go
+++ b/internal/fleet/owneragent/worker.go
@@ -7,7 +7,7 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	inboxSize    = 256 // functions
+	inboxSize    = 256 // functions that wait in worker.inbox
 	// stopTimeout is how long stop waits for a worker. A disk that hangs must not keep the process
 	// from ending.
 	stopTimeout = 300 * time.Millisecond
@@ -57,9 +57,9 @@
 	}
 }
 
-// call runs f on the worker and reports whether it has returned. It waits up to timeout for room in
-// the inbox, and as long again for f to return. If it reports false, because of a timeout or since
-// the worker is stopped, f may still run later.
+// call runs f on the worker and reports whether f has returned. It waits up to timeout for room in
+// the inbox, and then up to timeout for f to return. If it returns false, because of a timeout or
+// because the worker is stopped, f may still run later.
 func (w *worker) call(f func(), timeout time.Duration) bool {
 	finished := make(chan struct{})
 	select {
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers sends short messages between the proxies of a tier as UDP datagrams, for the
-// decision module and for membership. It owns the socket and decides from which senders datagrams
-// are accepted; it does not interpret them. A peer is another proxy, identified by its number in
-// the configured list.
+// Package peers sends short messages between the proxies of a tier (those that serve the same
+// clients) as UDP datagrams, for the decision module and for membership. It owns the socket and
+// decides from which senders datagrams are accepted; it does not interpret them. A peer is another
+// proxy, identified by its index in the configured list, which is called its number.
 //
 // Datagrams do not use netpoll, which serves streams only: one goroutine reads them and posts them
 // to the event loop.
@@ -49,9 +49,9 @@
 }
 
 // Open returns a Link that exchanges datagrams with the peers in a, among which this proxy has the
-// number ownNumber. It listens on a.Listen, or, if fd is not negative, uses the socket fd that
-// another process handed over. After StartReceiving, receive is called on the loop for each
-// datagram from a known peer, with the number of that peer.
+// number ownNumber. It listens on a.Listen, or, if fd is not negative, uses the socket with the
+// descriptor fd that another process handed over in a hot restart. After StartReceiving, receive is
+// called on the loop for each datagram from a known peer, with the number of that peer.
 func Open(loop *netio.Loop, a Addresses, ownNumber, fd int, receive func(from int, data []byte)) (*Link, error) {
 	l := &Link{ownNumber: ownNumber}
 	numbers := map[netip.AddrPort]int{}
@@ -83,7 +83,8 @@
 }
 
 // OpenForAnySender returns a Link that accepts datagrams from any address, for a fleet whose
-// members change. receive must itself decide which senders it accepts.
+// members change. After StartReceiving, receive is called on the loop, and must itself decide which
+// senders it accepts. SendToPeer reaches nobody on this Link; use SendTo.
 func OpenForAnySender(loop *netio.Loop, listen string, receive func(from netip.AddrPort, data []byte)) (*Link, error) {
 	own, err := parseAddress("listen", listen)
 	if err != nil {
--- a/internal/fleet/rules/auditlog.go
+++ b/internal/fleet/rules/auditlog.go
@@ -96,9 +96,9 @@
 	l.rejected = l.rejected[max(0, len(l.rejected)-maxAuditEntries):]
 }
 
-// text returns the log as text for administrators: the applied changes whose subject contains about
-// as a whole name or as the name of an account above, and the rejected changes that contain about.
-// An empty about means the complete log.
+// text returns the log as text for administrators: the applied changes whose subject contains about,
+// followed by a blank, a slash or the end, and the rejected changes that contain about. An empty
+// about means the complete log.
 func (l *auditLog) text(about string) string {
 	var b strings.Builder
 	for _, e := range l.active {
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -9,9 +9,9 @@
 )
 
 // stagingTimeoutLeases is the number of lease durations after which the publisher abandons a
-// staged version that a lease holder has not compiled. It waits only for members that renew their
-// leases. These send queriesPerLease queries in each lease duration, and several of them may be
-// lost while the members fetch and compile the version.
+// staged version that a lease holder has not compiled. The publisher waits only for members that
+// renew their leases. These send queriesPerLease queries in each lease duration, and several of the
+// queries may be lost while the members fetch and compile the version.
 const stagingTimeoutLeases = 3
 
 // Publisher is the rules' job, which one process of the fleet owns at a time. It orders the
@@ -21,7 +21,7 @@
 type Publisher struct {
 	LeaseDuration        Time           // nanoseconds; the same at every process
 	NotificationReceived func(now Time) // called at every process when there is a new version; may be nil
-	WallClock            func() int64   // Unix milliseconds; if nil, audit entries and expiry checks use 0
+	WallClock            func() int64   // returns Unix milliseconds; if nil, audit entries and the checks of grants for their end use 0
 
 	owner     jobs.Owner // nil if this process does not own the job
 	versions  versionStore
@@ -83,8 +83,9 @@
 	}
 }
 
-// QueryReceived answers a query of a member or an administrator, sent by the peer from under tag. A
-// malformed lease query gets no answer, since the member sends its next query soon.
+// QueryReceived answers a query of a member or an administrator. from is the peer ID of the process
+// that sent the query, and tag identifies the query there. A malformed lease query gets no answer,
+// since the member sends its next query soon.
 func (p *Publisher) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	if p.owner == nil || len(body) == 0 {
 		return
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -3,16 +3,17 @@
 import "croftlock/internal/fleet/namespace"
 
 const (
-	// defaultChangesPerMinute applies to accounts without a rate of their own. Rejected changes
-	// count too, so that an account that sends invalid changes continuously does not take the
-	// publisher's time from others.
+	// defaultChangesPerMinute applies if neither an account nor an account above it has a rate.
+	// Rejected changes count too, so that an account that sends invalid changes continuously does
+	// not take the publisher's time from others.
 	defaultChangesPerMinute = 600
-	burstDivisor            = 6              // a full bucket holds the changes of ten seconds
+	burstDivisor            = 6              // a full bucket holds a sixth of the changes per minute, those of ten seconds
 	maxBuckets              = 4 * MaxEntries // bounds the memory if clients invent keys
 	nanosPerMinute          = 6e10
 )
 
-// tokenBucket holds one token for each change that may be proposed immediately.
+// tokenBucket holds one token for each change that may be proposed immediately. Its capacity is the
+// changes of ten seconds, but at least one.
 type tokenBucket struct {
 	tokens   float64
 	filledAt Time
@@ -30,8 +31,8 @@
 	return true
 }
 
-// rateLimiter limits the rate of changes. Each pair of a key and an account has its own bucket, so
-// that no proposer uses the tokens of another.
+// rateLimiter limits the rate of changes. Each pair of a proposer's public key and an account has
+// its own bucket, so that no proposer uses the tokens of another.
 type rateLimiter struct{ buckets map[string]*tokenBucket }
 
 // allow reports whether a change may be proposed now, and removes a token from its bucket if so.
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -118,7 +118,7 @@
 
 // stageAfterTransitional stages the version that follows the active, transitional one. By the
 // transitional version no account uses the reassigned hosts and tenants; by the following one their
-// new owners do. The following version answers proposals.
+// new owners do. proposals are answered once the following version is active.
 func (p *Publisher) stageAfterTransitional(now Time, proposals []*proposal) {
 	v := p.versions.active.next()
 	if err := v.normalizeAndCheck(); err == nil {
--- a/internal/fleet/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxHostBytes = 64
+	maxHostBytes = 64                              // of a host ID
 	validityUnit = 100e6                           // nanoseconds; resolution of an encoded validity
 	maxValidity  = uint64(Lifetime / validityUnit) // in units of validityUnit
 )
@@ -24,7 +24,7 @@
 // message is one datagram: gossip or a query.
 type message struct {
 	source uint32 // source of the lists; revisions are comparable only within one source
-	body   any    // gossip or query
+	body   any    // of type gossip or query
 }
 
 type (
@@ -40,13 +40,13 @@
 	return w.Uint(kind).Uint(uint64(source))
 }
 
-// encode encodes the query. The encoded revision is one more, so that 0 means no list.
+// encode encodes the query. The encoded number is the revision plus 1, so that 0 means no list.
 func (q query) encode(source uint32) []byte {
 	return newWriter(kindQuery, source).Uint(uint64(max(noRevision, q.revision) + 1)).Data
 }
 
-// encode encodes watermarks in as few datagrams of at most maxBytes as possible. It leaves out a
-// watermark that does not fit in one.
+// encode encodes watermarks, in their order, in datagrams of at most maxBytes bytes. It leaves out a
+// watermark that does not fit in one datagram or whose host ID is longer than maxHostBytes.
 func (g gossip) encode(source uint32, maxBytes int) (datagrams [][]byte) {
 	header := newWriter(kindGossip, source).Data
 	data := header
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -33,10 +33,10 @@
 	// second.
 	minQueryInterval       = time.Second
 	queryIntervalPerMember = 20 * time.Millisecond
-	updateInterval         = minQueryInterval / 4
-	forwardCount           = 3  // random members to which a member forwards a watermark that is new to it
-	maxDatagrams           = 16 // sent to one member at a time
-	maxRefetchBackoff      = 30 * time.Second
+	updateInterval         = minQueryInterval / 4 // time between two calls of periodicUpdate
+	forwardCount           = 3                    // random members to which a member forwards a watermark that is new to it
+	maxDatagrams           = 16                   // sent to one member at a time
+	maxRefetchBackoff      = 30 * time.Second     // longest time between two fetches of a list that stays behind
 )
 
 // Link sends and receives watermarks. All its methods must be called on the event loop.
@@ -45,15 +45,15 @@
 	Clock        Clock
 	Rand         *rand.Rand
 	Source       func() uint32        // returns the source of this proxy's list; revisions are comparable only within one source
-	RefetchAfter time.Duration        // how long the list may be behind before it is fetched from discovery again
+	RefetchAfter time.Duration        // how long the list may be behind (see Registry.BehindSince) before it is fetched from discovery again
 	RefetchList  func()               // starts to fetch the list from discovery again
 	HostsChanged func(hosts []string) // called with hosts for which Blocks may have changed, unless ReceiveList returns them
 
 	registry    *Registry
-	source      uint32
+	source      uint32 // of the list in the registry
 	pending     pendingGossip
 	refetch     refetchBackoff
-	lastQueryAt Time
+	lastQueryAt Time // before the first query, a random time within the last minQueryInterval
 	closed      bool
 }
 
@@ -64,7 +64,7 @@
 	scheduled  bool // whether gossipPending will be called
 }
 
-// add appends watermarks and keeps the last maxWatermarks.
+// add appends watermarks, and drops the oldest beyond maxWatermarks.
 func (p *pendingGossip) add(fresh []Watermark) {
 	p.watermarks = append(p.watermarks, fresh...)
 	p.watermarks = p.watermarks[max(0, len(p.watermarks)-maxWatermarks):]
@@ -94,9 +94,11 @@
 // Close stops the link. It sends and receives nothing afterwards.
 func (l *Link) Close() { l.closed = true }
 
-// ReceiveList updates this proxy's endpoint list with a complete list or a change to it, and returns
-// the hosts for which Blocks may have changed. A list of another source discards all known watermarks,
-// because revisions are comparable only within one source.
+// ReceiveList updates this proxy's endpoint list with a complete list, or with a change to it if
+// complete is false, and returns the hosts for which Blocks may have changed. A list of another
+// source discards all known watermarks, because revisions are comparable only within one source. If
+// hosts have become draining or gone, their watermarks are sent to the other members after a random
+// delay.
 func (l *Link) ReceiveList(revision int64, complete bool, hosts []ListedHost) (changed []string) {
 	if s := l.Source(); s != l.source {
 		l.source, l.pending.watermarks, changed = s, nil, l.registry.Reset()
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -55,10 +55,11 @@
 	return hosts
 }
 
-// UpdateList updates this proxy's list with a complete list or a change to it. fresh holds the
-// watermarks that the list introduces. It is empty for a first list and for a complete list that is
-// older than the last, because the others receive the same list from discovery. changed holds the
-// hosts whose received watermark was added or dropped, so that Blocks may have changed for them.
+// UpdateList updates this proxy's list with a complete list, or with a change to it if complete is
+// false. It ignores a change with an older revision than the list. fresh holds the watermarks that
+// the list introduces. It is empty for a first list and for a complete list that is older than the
+// last, because the other proxies receive the same list from discovery. changed holds the hosts whose
+// received watermark was added or dropped, so that Blocks may have changed for them.
 func (r *Registry) UpdateList(now Time, revision int64, complete bool, hosts []ListedHost) (fresh []Watermark, changed []string) {
 	if !complete && revision < r.revision {
 		return nil, nil // a change to an older list
@@ -96,7 +97,8 @@
 }
 
 // updateUnlisted marks the hosts that a complete list does not name as gone, and forgets those that
-// have been gone for goneRetention.
+// have been gone for longer than goneRetention. It returns fresh with the watermarks of the hosts
+// that are now gone appended.
 func (r *Registry) updateUnlisted(now Time, revision int64, complete bool, hosts []ListedHost, fresh []Watermark) []Watermark {
 	named := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
@@ -112,9 +114,9 @@
 	return fresh
 }
 
-// updateHost updates one host of this proxy's list, and appends its watermark to fresh if the host has
-// become draining or gone. A host that appears as gone is recorded only, and a new host beyond
-// maxWatermarks is ignored.
+// updateHost updates one host of this proxy's list. It returns fresh, with the host's watermark
+// appended if the host has become draining or gone. A new host that is already gone is recorded
+// without a watermark, and a new host beyond maxWatermarks is ignored.
 func (r *Registry) updateHost(now Time, revision int64, h ListedHost, fresh []Watermark) []Watermark {
 	o, had := r.own[h.Host]
 	if had && o.state == h.State && o.startedAt == h.StartedAt {
@@ -143,7 +145,8 @@
 	return hosts
 }
 
-// Merge adds watermarks of other proxies' lists and returns the hosts for which Blocks has changed.
+// Merge adds watermarks of other proxies' lists. It returns the hosts for which Blocks has changed;
+// a host that is not in this proxy's list counts as started at 0.
 func (r *Registry) Merge(now Time, all []Watermark) (changed []string) {
 	for _, w := range all {
 		if r.merge(now, w) {
@@ -199,8 +202,8 @@
 	return changed
 }
 
-// BehindSince returns since when a newer list has blocked a host that is up in this proxy's list, or 0
-// if there is no such host.
+// BehindSince returns since when this proxy's list is behind: the earliest time since which a newer
+// list blocks a host that is up in this proxy's list. It returns 0 if there is no such host.
 func (r *Registry) BehindSince(now Time) (since Time) {
 	for host, w := range r.received {
 		o, listed := r.own[host]
