--- a/internal/fleet/consensus/disk/store_test.go
+++ b/internal/fleet/consensus/disk/store_test.go
@@ -17,7 +17,7 @@
 	"croftlock/internal/fleet/consensus"
 )
 
-const testMaxBytes = 1 << 20
+const testMaxBytes = 1 << 20 // size limit of the stores in tests
 
 // entries returns n entries of a term with consecutive indexes from first on.
 func entries(first, n int, term uint64) (out []raftpb.Entry) {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// mustOpen opens a store and closes it at the end of the test.
+// mustOpen returns an opened store of at most testMaxBytes, which is closed at the end of the test.
 func mustOpen(t testing.TB, path string) *Store {
 	t.Helper()
 	s, err := Open(path, testMaxBytes)
@@ -38,7 +38,7 @@
 	return s
 }
 
-// mustLoad returns the state that Load returns.
+// mustLoad returns the state that Load returns, and fails the test if Load returns an error.
 func mustLoad(t testing.TB, s *Store) consensus.StoredState {
 	t.Helper()
 	state, err := s.Load()
@@ -105,8 +105,8 @@
 	}
 }
 
-// damage returns a damaged copy of a file's data. n selects the kind of damage: flipped bytes,
-// truncation, or a page replaced by another one.
+// damage returns a damaged copy of a file's data. n modulo 3 selects the kind of damage: 1 to 4
+// changed bytes, truncation, or a page replaced by another one.
 func damage(rng *rand.Rand, data []byte, n int) []byte {
 	const kinds, pageBytes = 3, 4096
 	damaged := slices.Clone(data)
@@ -163,8 +163,8 @@
 	}
 }
 
-// limitFileSize limits the size of files that this process writes, to simulate a full disk. The
-// returned function removes the limit.
+// limitFileSize limits the size of files that this process writes to a number of bytes, to simulate
+// a full disk. The returned function restores the earlier limit.
 func limitFileSize(t *testing.T, bytes uint64) (restore func()) {
 	t.Helper()
 	var before unix.Rlimit
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestFullDisk checks that on a full disk a call that saves and all calls after it fail, and that
-// once there is space the file opens with what was saved before.
+// TestFullDisk checks that on a full disk a write and all later writes fail, and that once there is
+// space the file opens with what was saved before.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	s := mustOpen(t, path)
@@ -208,7 +208,8 @@
 	}
 }
 
-// TestBound checks that Save fails once the file has reached the maxBytes passed to Open.
+// TestBound checks that Save fails with ErrFull once the file is larger than the maxBytes passed to
+// Open, 200 KiB. The file may exceed that by one Save, and bbolt grows it in large steps.
 func TestBound(t *testing.T) {
 	s, err := Open(filepath.Join(t.TempDir(), "voter"), 200<<10)
 	if err != nil {
@@ -235,8 +236,8 @@
 		{"read-only file system", &os.PathError{Op: "open", Err: syscall.EROFS}, true},
 		{"I/O error", &os.PathError{Op: "write", Err: syscall.EIO}, false},
 		{"no space at a sync", &os.PathError{Op: "sync", Err: syscall.ENOSPC}, false},
-		{"I/O error of no known call", syscall.EIO, false},
-		{"no space at no known call", syscall.ENOSPC, false},
+		{"I/O error that is no fs.PathError", syscall.EIO, false},
+		{"no space, but no fs.PathError", syscall.ENOSPC, false},
 	} {
 		if got := Recoverable(fmt.Errorf("store: %w", c.err)); got != c.recoverable {
 			t.Errorf("%s: Recoverable(%v) = %t, want %t", c.name, c.err, got, c.recoverable)
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// recorder is a Machine whose state is the list of all applied commands.
+// recorder is a Machine whose state is the list of all applied commands. The result of a command is
+// the length of the list.
 type recorder struct{ log []string }
 
 func (r *recorder) Apply(cmd []byte) []byte {
@@ -39,7 +40,7 @@
 type queuedMessage struct {
 	sender, receiver uint32
 	data             []byte
-	due              Time
+	due              Time // when it is delivered
 }
 
 // testGroup runs replicas in virtual time on a network that loses messages and can be cut.
@@ -61,7 +62,8 @@
 	events    []string // logged events with the names of their processes
 }
 
-// newGroup starts the initial voters.
+// newGroup returns a group, at time 0 of its virtual clock and without message loss, in which it has
+// started the initial voters. The seed determines lost and delayed messages and the processes' seeds.
 func newGroup(t testing.TB, seed uint64, voters ...string) *testGroup {
 	t.Helper()
 	g := &testGroup{t: t, rng: rand.New(rand.NewPCG(seed, 9)), initial: voters, cores: map[string]*Core{}, machines: map[string]*recorder{}, disks: map[string]*MemoryStore{},
@@ -119,7 +121,7 @@
 	return err
 }
 
-// kill ends a process without closing its Core.
+// kill ends a process without closing its Core. Its disk keeps what was synced.
 func (g *testGroup) kill(name string) {
 	g.disks[name].Crash()
 	delete(g.cores, name)
@@ -150,7 +152,8 @@
 	}
 }
 
-// leader waits for a process whose leadership the voters confirm and returns it.
+// leader advances the time until the voters confirm the leadership of a process, and returns that
+// process. It fails the test if there is none after at least 20 s.
 func (g *testGroup) leader() *Core {
 	g.t.Helper()
 	for range 200 {
@@ -168,14 +171,15 @@
 		}
 		g.run(1e8)
 	}
-	g.t.Fatalf("no confirmed leader after 20 s; events: %v", g.events)
+	g.t.Fatalf("no confirmed leader after at least 20 s; events: %v", g.events)
 	return nil
 }
 
 // newTag returns a tag that was not used before.
 func (g *testGroup) newTag() uint64 { g.lastTag++; return g.lastTag }
 
-// propose proposes a command to the leader until it is applied.
+// propose proposes a command to the leader until the command is applied: up to 50 times, each time
+// waiting for up to 3 s. The command may be applied more than once.
 func (g *testGroup) propose(text string) {
 	g.t.Helper()
 	for range 50 {
@@ -191,7 +195,8 @@
 	g.t.Fatalf("command %q not applied after 50 proposals", text)
 }
 
-// checkEqual checks that all members have applied the same commands.
+// checkEqual advances the time by 3 s, and checks that all running members have then applied the same
+// commands.
 func (g *testGroup) checkEqual() {
 	g.t.Helper()
 	g.run(3e9)
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -35,8 +35,8 @@
 }
 
 // Confirm asks the voters whether this process still leads. If it does, Effects.Confirmed is called
-// with the tag. If it does not, or a message is lost, Effects.Confirmed is not called. Confirm returns
-// ErrNotLeader if this process does not lead as far as it knows.
+// with the tag; otherwise Effects.Confirmed is never called. Confirm returns ErrNotLeader if this
+// process does not lead as far as it knows.
 func (c *Core) Confirm(now Time, tag uint64) error {
 	c.now = max(c.now, now)
 	if _, ok := c.Leading(); !ok {
--- a/internal/fleet/jobs/fakegroup_test.go
+++ b/internal/fleet/jobs/fakegroup_test.go
@@ -79,12 +79,12 @@
 func (g *fakeGroup) Reply(_ uint32, tag uint64, body []byte) { g.answers[tag] = string(body) }
 func (g *fakeGroup) Members() []Member                       { return g.members }
 
-// command sends an operator's command to the current owner.
+// command sends an operator's encoded command to the current owner. The answer is in answers[tag].
 func (g *fakeGroup) command(tag uint64, encoded []byte) {
 	g.job.QueryReceived(g.now, 9, tag, encoded)
 }
 
-// wait advances the clock by d and calls the owner's Step every 50 ms.
+// wait advances the virtual clock by d and calls the owner's Step every 50 ms.
 func (g *fakeGroup) wait(d Time) {
 	for end := g.now + d; g.now < end; g.now += 50 * ms {
 		g.job.Step(g.now)
--- a/internal/fleet/namespace/namespace.go
+++ b/internal/fleet/namespace/namespace.go
@@ -45,9 +45,9 @@
 	Accounts []Account `cbor:"2,keyasint,omitempty"`
 }
 
-// Pool is a set of hosts, selected by their attributes in discovery. A host's name takes precedence
-// over its longest matching prefix, the prefix over its kind, and the kind over its zone. No two
-// pools name the same value, so each host is in exactly one pool.
+// Pool is a set of hosts, selected by their attributes in discovery. A host's ID takes precedence
+// over the ID's longest matching prefix, the prefix over the host's kind, and the kind over its
+// zone. No two pools name the same value, so each host is in exactly one pool.
 type Pool struct {
 	Name     string   `cbor:"1,keyasint"`
 	Hosts    []string `cbor:"2,keyasint,omitempty"`
--- a/internal/fleet/owneragent/harness_test.go
+++ b/internal/fleet/owneragent/harness_test.go
@@ -54,7 +54,9 @@
 	return conn.LocalAddr().String()
 }
 
-// startAlone starts an Agent with options o. Its process is the only member and the only voter.
+// startAlone returns a started Agent with options o, in which it sets Enabled, Group, Voters and
+// MaxStoreKB. The process, named a, is the only member and the only voter. The Agent runs on the real
+// clock and is stopped at the end of the test.
 func startAlone(t *testing.T, o Options) *Agent {
 	t.Helper()
 	addr := freeAddress(t)
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -22,16 +22,16 @@
 	limits      map[string]Limit
 	clients     []*Client
 	issuers     [Shards]*Issuer
-	isolated    map[int]bool // by proxy: messages to and from issuers are lost
+	isolated    map[int]bool // by index of the proxy: messages to and from issuers are lost
 	inFlight    []func()     // message deliveries and connection ends for the next step
 	rng         *rand.Rand
 	loss        float64           // probability that a message is lost
 	acquiredAt  map[string][]Time // by account
 	open        map[string]int    // connections by account
-	rejected    int
-	waiting     int // requests that wait for a grant
+	rejected    int               // number of rejected requests
+	waiting     int               // requests that wait for a grant
 	longestWait Time
-	noIssuer    bool // if set, no issuer runs
+	noIssuer    bool // whether the issuers are stopped
 
 	recorded *golden.Digest // nil if nothing is recorded
 	samples  *golden.Samples
@@ -62,8 +62,9 @@
 	f.inFlight = append(f.inFlight, func() { f.clients[to].ReplyReceived(tag, body) })
 }
 
-// newTestFleet returns a fleet of n proxies and new issuers. The seed determines the lost messages
-// and the demand.
+// newTestFleet returns a fleet of n proxies and new issuers, at 100 s of its virtual clock and
+// without loss. limits holds the limits by account. The seed determines the lost messages and the
+// demand.
 func newTestFleet(n int, seed uint64, limits map[string]Limit) *testFleet {
 	f := &testFleet{now: 100 * second, limits: limits, isolated: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), acquiredAt: map[string][]Time{}, open: map[string]int{}}
 	for i := range n {
@@ -112,8 +113,9 @@
 	}
 }
 
-// run advances time in steps of 10 ms. In each step, demand returns the average number of
-// connections that are requested at a proxy. Each connection lasts for lifetime.
+// run advances the virtual time by d in steps of 10 ms. In each step, demand returns the average
+// number of connections of the account that are requested at a proxy. Each connection lasts for
+// lifetime.
 func (f *testFleet) run(d Time, account string, demand func(proxy int) float64, lifetime Time) {
 	for end := f.now + d; f.now < end; f.now += 10 * ms {
 		deliveries := f.inFlight
@@ -128,7 +130,7 @@
 				}
 			}
 			p.RetryWaiting()
-			if f.now%(grantLifetime/3/(10*ms)*(10*ms)) == 0 {
+			if f.now%(grantLifetime/3/(10*ms)*(10*ms)) == 0 { // a third of a grant lifetime, in whole steps
 				p.Step()
 			}
 		}
@@ -156,7 +158,8 @@
 	f.inFlight = append(f.inFlight, endIfDue)
 }
 
-// acquire requests a connection at a proxy. The connection ends after lifetime.
+// acquire requests a connection of an account at a proxy and counts the result. If it is granted,
+// the connection ends after lifetime.
 func (f *testFleet) acquire(proxy int, account string, lifetime Time) {
 	requestedAt := f.now
 	f.waiting++
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// Without an issuer, all proxies together must use the account's whole rate. Once there are new
-// issuers, shares and grants together must stay within the limit and a burst.
+// TestProxyUsesFairShareWithoutIssuer checks that without an issuer all proxies together use the
+// account's whole rate, and that once there are new issuers, shares and grants together stay within
+// the limit and a burst.
 func TestProxyUsesFairShareWithoutIssuer(t *testing.T) {
 	f := newTestFleet(5, 2, map[string]Limit{"a": {Rate: 50, Connections: 100}})
 	all := func(int) float64 { return 1 }
@@ -50,11 +51,12 @@
 	f.restartIssuers()
 	f.run(10*second, "a", all, second)
 	if n := maxPerSecond(f.acquiredAt["a"]); n > 50+13+50/5 {
-		t.Errorf("acquired %d connections in one second across the change of issuers, want at most 73", n)
+		t.Errorf("acquired %d connections in one second across the change of issuers, want at most %d", n, 50+13+50/5)
 	}
 }
 
-// A parent's limit bounds all its children together, even after it is halved during a burst.
+// TestParentLimitBoundsChildren checks that a parent's limit bounds all its children together, even
+// after the limit is halved during a burst.
 func TestParentLimitBoundsChildren(t *testing.T) {
 	f := newTestFleet(4, 3, map[string]Limit{"p": {Rate: 40, Connections: 60}, "p/x": {Rate: 40}, "p/y": {Rate: 40}})
 	for range 20 {
@@ -117,8 +119,8 @@
 	})
 }
 
-// Each grant lapses separately: a later grant does not prolong it, and a grant that arrives after a
-// newer one does not change the number of open connections.
+// TestGrantsLapseIndependently checks that a later grant does not prolong an earlier one, and that a
+// grant that arrives after a newer one does not change how many connections may be open.
 func TestGrantsLapseIndependently(t *testing.T) {
 	now := Time(0)
 	var tags []uint64
@@ -164,8 +166,8 @@
 	}
 }
 
-// FuzzMessages passes arbitrary bytes to the issuer and the client; an account without limits is
-// never rejected.
+// FuzzMessages passes arbitrary bytes to the issuer and the client, and checks that neither panics
+// and that an account without limits is never rejected.
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeDemands([]demand{{"a", 1, 2, 3}, {"a/b", 9, 9, 9}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/fleet/rules/testfleet_test.go
+++ b/internal/fleet/rules/testfleet_test.go
@@ -26,7 +26,7 @@
 	isolated           map[uint32]bool    // by peer ID: the member's messages are lost in both directions
 	losesReplies       map[uint32]bool    // by peer ID: the publisher's replies to the member are lost
 	checkpointsFail    bool               // the group stores no checkpoint
-	answers            []string           // to administrators, whose peer ID is 0
+	answers            []string           // to administrators, whose peer ID is 0; the last is the newest
 	pendingCheckpoints []func()           // confirm the checkpoints that the group is storing
 	checkpoint         []byte             // the last checkpoint that the group has stored
 	observations       []observation
@@ -91,13 +91,15 @@
 	return all
 }
 
-// clock returns the time on a member's clock.
+// clock returns the time on the clock of member i, which has another origin than fleet.now and runs
+// at clockRate[i].
 func (fleet *testFleet) clock(i uint32) Time {
 	return 5e15 + Time(float64(fleet.now)*fleet.clockRate[i])
 }
 
-// newTestFleet returns a fleet with n members, named a, b, c and so on, that have leases for
-// version 0.
+// newTestFleet returns a fleet with n members, named a, b, c and so on, with peer IDs from 1 on. They
+// have leases for version 0, and their clocks do not drift. The fleet has run for two lease durations
+// of virtual time.
 func newTestFleet(t *testing.T, n uint32) *testFleet {
 	t.Helper()
 	fleet := &testFleet{t: t, now: 1e9, members: map[uint32]*Member{}, clockRate: map[uint32]float64{}, isolated: map[uint32]bool{}, losesReplies: map[uint32]bool{}}
@@ -133,8 +135,8 @@
 	}
 }
 
-// run advances the time by d in steps of 20 ms, and records an observation of each member at each
-// step.
+// run advances the virtual time by d in steps of 20 ms, and records an observation of each member at
+// each step.
 func (fleet *testFleet) run(d Time) {
 	for end := fleet.now + d; fleet.now < end; fleet.now += 20 * ms {
 		pending := fleet.pendingCheckpoints
@@ -151,7 +153,8 @@
 	}
 }
 
-// proposeOperators proposes v's operators' part, as an operator does.
+// proposeOperators proposes the operators' part of v against version baseVersion, as an operator
+// does.
 func (fleet *testFleet) proposeOperators(v *Version, baseVersion uint64) {
 	fleet.publisher.QueryReceived(fleet.now, 0, 1, EncodeProposal(NewOperatorsChange(v, baseVersion, nil)))
 }
@@ -173,7 +176,7 @@
 }
 
 // expectOverlapWithin checks the package's guarantee: no two versions are in use at the same time
-// for longer than a bound.
+// for longer than bound, in nanoseconds.
 func (fleet *testFleet) expectOverlapWithin(bound Time) {
 	fleet.t.Helper()
 	if o := fleet.longestOverlap(); o > bound {
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -16,8 +16,8 @@
 	links      []*Link
 	transports []*faultyTransport
 	loss       float64 // probability that a datagram is lost
-	sent       int     // datagrams, including lost ones
-	refetches  []int   // by member
+	sent       int     // number of datagrams, including lost ones
+	refetches  []int   // number of fetches of the list, by member
 }
 
 // event is a call at a time. sequence orders events at the same time.
@@ -48,7 +48,7 @@
 	heap.Push(&f.due, event{f.now + Time(d), f.sent + len(f.due), run})
 }
 
-// run advances the time by d and runs the events that are due.
+// run advances the virtual time by d and runs the events that become due.
 func (f *testFleet) run(d Time) {
 	for end := f.now + d; ; {
 		if len(f.due) == 0 || f.due[0].at > end {
@@ -88,7 +88,8 @@
 	f.After(time.Duration(1+f.rng.IntN(40))*time.Millisecond, func() { f.links[member].Receive(uint32(t.member), data) })
 }
 
-// newTestFleet returns a fleet of n members whose list has revision 5 and hosts a and b up.
+// newTestFleet returns a fleet of n members, at 100 s of its virtual clock and without loss. Their
+// lists are of source 1 and have revision 5 and hosts a and b up, both started at 1.
 func newTestFleet(n int, seed uint64) *testFleet {
 	f := &testFleet{now: 100 * second, rng: rand.New(rand.NewPCG(seed, 2)), refetches: make([]int, n)}
 	for i := range n {
