--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// change calls propose with the leader until the change that it proposes is applied.
+// change calls propose with the leader and a new tag until the change that propose proposes is
+// applied, at most 20 times. name describes the change in a failure message.
 func (g *testGroup) change(name string, propose func(leader *Core, tag uint64) error) {
 	g.t.Helper()
 	for range 20 {
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -42,7 +42,8 @@
 	e.link.received[e.index] = append(e.link.received[e.index], append([]byte(nil), data...))
 }
 
-// newLossyLink returns a link between two transports that send datagrams of at most 240 bytes.
+// newLossyLink returns a link between two transports that send datagrams of at most 240 bytes. loss
+// is the probability that a datagram is lost. The seed determines which are lost.
 func newLossyLink(seed uint64, loss float64) *lossyLink {
 	l := &lossyLink{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss}
 	for i := range l.ends {
@@ -51,7 +52,8 @@
 	return l
 }
 
-// run delivers the datagrams in random order and ticks both transports, in steps of 10 ms.
+// run delivers the datagrams in random order and ticks both transports, in steps of 10 ms of virtual
+// time.
 func (l *lossyLink) run(from, to Time) {
 	for now := from; now < to; now += 1e7 {
 		due := l.queue
--- a/internal/fleet/jobs/migrationpacer_test.go
+++ b/internal/fleet/jobs/migrationpacer_test.go
@@ -30,7 +30,8 @@
 	migrated []Time // time of each migration, in order
 }
 
-// newPacedFleet returns a fleet without an owner.
+// newPacedFleet returns a fleet of pacedProxies proxies without an owner, at 1 ns of its virtual
+// clock. The seed determines the faults and delays.
 func newPacedFleet(seed uint64) *pacedFleet {
 	f := &pacedFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: 1}
 	for i := range f.pacers {
@@ -42,7 +43,7 @@
 	return f
 }
 
-// send delivers a message after a random delay, or loses it.
+// send delivers a message after a random delay of up to 300 ms, or loses it with probability 0.2.
 func (f *pacedFleet) send(deliver func(now Time)) {
 	if f.rng.Float64() < 0.8 {
 		f.inFlight = append(f.inFlight, delayedMessage{at: f.now + f.rng.Int64N(300*ms), deliver: deliver})
@@ -100,8 +101,8 @@
 }
 
 // TestRateIsKept checks the fleet-wide rate while owners change, messages are lost and permits are
-// used late. The bound is the rate plus the permits of one lifetime, which an earlier owner may
-// have granted, a full bucket and one migration that each proxy has accumulated.
+// used late. The bound for 2 s is the rate, plus the permits of one lifetime, which an earlier owner
+// may have granted, plus a full bucket, plus one migration that each proxy has accumulated.
 func TestRateIsKept(t *testing.T) {
 	for seed := range uint64(60) {
 		f := newPacedFleet(seed)
--- a/internal/fleet/namespace/isolation_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// evaluateByScan finds the deciding route by testing all routes. The index must agree with it.
+// evaluateByScan returns the name of the route that decides a request, or "" if none does. It tests
+// all routes of d, of which c is the compiled form, and the index must find the same route.
 func evaluateByScan(d *Directory, c *Compiled, q Request) string {
 	a := c.accounts[c.AccountOfTenant(q.Tenant)]
 	k, share := matchKey{q.Group, q.Key, q.Class, q.Zone}, a.share(q.Key)
@@ -60,7 +61,8 @@
 	return ""
 }
 
-// generateNamespace returns a namespace of an account with random routes, which may be invalid.
+// generateNamespace returns a namespace of an account with up to six random routes, which may be
+// invalid.
 func generateNamespace(rt *rapid.T, account string) Namespace {
 	s := Namespace{Account: account}
 	for i := range rapid.IntRange(0, 6).Draw(rt, "routes") {
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/operations/settings"
 )
 
-// mustCompile compiles a directory and fails the test if the directory is invalid.
+// mustCompile returns a compiled directory, and fails the test if the directory is invalid.
 func mustCompile(t testing.TB, directory *Directory) *Compiled {
 	t.Helper()
 	c, err := Compile(directory)
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// querySocket sends a line to the admin socket and returns the reply.
+// querySocket sends a line to the admin socket at path and returns the decoded reply.
 func querySocket(t *testing.T, path, line string) (r Reply) {
 	t.Helper()
 	conn, err := net.Dial("unix", path)
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -15,7 +15,9 @@
 	data []byte
 }
 
-// openLinks opens n links on loopback and returns them with a channel of what each receives.
+// openLinks returns n open links on loopback, which are peers of one another with the numbers 0 to
+// n-1, and for each a channel of the datagrams that it receives. The links are closed at the end of
+// the test.
 func openLinks(t *testing.T, n int) ([]*Link, []chan received) {
 	t.Helper()
 	var addrs []string
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// privateKey returns the key of the test administrator with a number.
+// privateKey returns the Ed25519 key of test administrator n, which is the same in every run.
 func privateKey(n byte) ed25519.PrivateKey {
 	return ed25519.NewKeyFromSeed(bytes.Repeat([]byte{n}, 32))
 }
@@ -18,8 +18,9 @@
 // publicKey returns the public part of privateKey(n).
 func publicKey(n byte) []byte { return privateKey(n).Public().(ed25519.PublicKey) }
 
-// twoCustomers returns a version with two customers, each with a pool. The grant of acme's
-// administrator allows routing and delegation.
+// twoCustomers returns a version with the customers acme and other, each with a pool. Key 1 has a
+// grant on acme that allows to change routes and to create accounts below it. Key 2 has one for
+// routes only, which ends 5000 s after 1970.
 func twoCustomers() *Version {
 	return &Version{Directory: &namespace.Directory{
 		Pools: []namespace.Pool{{Name: "a", Kinds: []string{"m1"}}, {Name: "b", Kinds: []string{"m2"}}},
@@ -35,7 +36,8 @@
 	return &namespace.Namespace{Account: account, VersionNumber: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
 }
 
-// propose sends a change to the publisher, as an administrator does.
+// propose sends a change to the publisher, as an administrator does. The answer is appended to
+// fleet.answers.
 func (fleet *testFleet) propose(c *Change) {
 	fleet.publisher.QueryReceived(fleet.now, 0, 1, EncodeProposal(c))
 }
@@ -89,7 +91,7 @@
 func TestUnauthorizedAndInvalidChangesRejected(t *testing.T) {
 	const operators, acmeAdmin, acmeClerk, nobody = 0, 1, 2, 9 // numbers of the signing keys; operators do not sign
 	fleet := startWithPools(t, 3)
-	fleet.publisher.WallClock = func() int64 { return 6000_000 } // the clerk's grant has ended
+	fleet.publisher.WallClock = func() int64 { return 6000_000 } // milliseconds; the clerk's grant has ended after 5000 s
 	for _, c := range []struct {
 		want   string
 		signer byte
@@ -129,16 +131,15 @@
 	}
 }
 
-// A grant is revoked after a change was signed with its key. The change must be rejected, both if
-// it waits to be staged at that time and if it arrives afterwards.
+// A grant is revoked after a change was signed with its key. The change must be rejected, both if it
+// waits to become part of a version when the grant is revoked, and if it arrives afterwards.
 func TestRevokedGrantRejectsPendingChanges(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	c := NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, []byte("held-back"))
 	c.Sign(privateKey(1))
-	// The change waits while the grant is revoked, and is authorized again when its round is
-	// applied.
+	// The change waits while the grant is revoked, and is authorized again when a version is made of
+	// the waiting changes. The isolated member's lease delays that version.
 	fleet.isolated[3] = true
-	// The isolated member's lease delays the next round.
 	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}, Directory: twoCustomers().Directory}, 2)
 	fleet.run(60 * ms)
 	revoked := twoCustomers()
@@ -183,8 +184,8 @@
 	}
 }
 
-// One member can't use a change, because it has too many entries. The other changes of the same
-// round must become active.
+// One member can't use a change, because the change has too many entries for it. The other changes
+// that are staged together with it must become active.
 func TestUnusableNamespaceDoesNotBlockOthers(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	fleet.members[2].MaxEntries = 6
@@ -194,7 +195,7 @@
 	}
 	n := len(fleet.answers)
 	fleet.publisher.proposals.waiting = nil
-	fleet.publisher.leases.unknownUntil = fleet.now + 100*ms // delays the first change, so that the other two form one round
+	fleet.publisher.leases.unknownUntil = fleet.now + 100*ms // delays the first change, so that the other two are staged together
 	fleet.propose(&Change{ID: []byte("first-one"), Kind: KindOperators, BaseVersion: 2, Body: func() []byte { v := twoCustomers(); v.Number = 3; v.ExcludedHosts = []string{"h"}; return v.Encode() }()})
 	fleet.propose(NewNamespaceChange(big, 2, nil))
 	fleet.propose(NewNamespaceChange(namespaceRoutingTo("other", 0, "b"), 2, nil))
--- a/internal/fleet/rules/components_test.go
+++ b/internal/fleet/rules/components_test.go
@@ -62,7 +62,7 @@
 func TestLeaseEndsAtMemberBeforePublisher(t *testing.T) {
 	member, publisher := MemberLeaseEnd(0, leaseDuration), PublisherLeaseEnd(0, leaseDuration)
 	if float64(member)/0.99 >= float64(publisher)/1.01 {
-		t.Errorf("the lease ends at %d at the member and at %d at the publisher, which is too early with a drift of 1 %%", member, publisher)
+		t.Errorf("a lease of %d ms ends after %d ms at the member and after %d ms at the publisher, which is too early there with a drift of 1 %%", leaseDuration/ms, member/ms, publisher/ms)
 	}
 }
 
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// largeVersion returns a version with a number of customers, each with ten routes.
+// largeVersion returns version 7 with a number of customers, each with one tenant and ten routes.
 func largeVersion(customers int) *Version {
 	v := &Version{Number: 7, Directory: &namespace.Directory{}}
 	for i := range customers {
@@ -24,8 +24,8 @@
 	return v
 }
 
-// withOneCustomerChanged returns the next version, with fewer routes of one customer and without
-// another customer.
+// withOneCustomerChanged returns the version after v, with four instead of ten routes of customer 20
+// and without customer 40. v must have more than 40 customers.
 func withOneCustomerChanged(v *Version) *Version {
 	n := v.next()
 	n.Directory.Namespaces[20].VersionNumber = n.Number
@@ -139,8 +139,9 @@
 	fleet.expectOverlapWithin(leaseDuration)
 }
 
-// The history skips a transitional version, so it must contain the version before it as a delta
-// from the version after it. A retry during the transition must get no early answer.
+// The history skips a transitional version, which is active between two others while hosts or tenants
+// are reassigned. So the history must contain the version before it as a delta from the version after
+// it. A change that is sent again during the transition must get no early answer.
 func TestHistorySkipsTransitionalVersion(t *testing.T) {
 	fleet := startWithPools(t, 2)
 	first := fleet.publisher.versions.active.Number
--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// Random sequences of isolated members, lost and late replies, new publishers, failing checkpoints
-// and changes, with clocks that drift by 1 %. No two versions may be in use at the same time for
-// longer than a lease, no member may go back to an older version, and after the faults all must act
-// by the active one.
+// TestOverlapUnderFaults runs random sequences of isolated members, lost and late replies, new
+// publishers, failing checkpoints and changes, with clocks that drift by 1 %. No two versions may be
+// in use at the same time for longer than a lease, no member may go back to an older version, and
+// after the faults all members must act by the active version.
 func TestOverlapUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fleet := newTestFleet(t, 4)
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// randomChange returns a change as an administrator may propose it. Many of these are rejected.
+// randomChange returns a random change that an administrator may propose. The publisher rejects many
+// of these.
 func randomChange(rng *rand.Rand, baseVersion uint64) *Change {
 	id := fmt.Appendf(nil, "id-%08d", rng.Intn(1e8))
 	pools := []string{"a", "b", namespace.MainPool}
@@ -52,7 +53,8 @@
 	return NewOperatorsChange(reassigned, baseVersion, id)
 }
 
-// randomStep proposes a change, sends a query, or starts or ends a fault.
+// randomStep does one random thing: it proposes a change, sends an administrator's query, or starts
+// or ends a fault.
 func randomStep(fleet *testFleet, rng *rand.Rand) {
 	member := 1 + uint32(rng.Intn(len(fleet.members)))
 	switch rng.Intn(12) {
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// longestOverlap must detect an injected fault: a member that counts its leases ten times too long.
+// longestOverlap must detect an injected fault: a member whose leases last ten times too long.
 func TestOverlapCheckFindsAnOverlongLease(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.members[3].LeaseDuration = 10 * leaseDuration
--- a/internal/fleet/rules/status_test.go
+++ b/internal/fleet/rules/status_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The status that operators see while a change waits for an isolated member, once the change is
-// active, and while a member can't use it.
+// TestStatus checks the status that operators see while a change waits for an isolated member, once
+// the change is active, and while a member can't use a change.
 func TestStatus(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	status := func() string {
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -116,8 +116,8 @@
 	return all
 }
 
-// step runs one random event: a change of discovery's list, its delivery, gossip between two
-// registries, or the expiry of watermarks.
+// step advances the time by up to 8 s and runs one random event: a change of discovery's list, the
+// delivery of the list to a registry, gossip between two registries, or the expiry of watermarks.
 func (m *gossipModel) step(rt *rapid.T) {
 	m.now += Time(rapid.IntRange(1, 8000).Draw(rt, "ms")) * 1e6
 	from := m.registries[rapid.IntRange(0, 2).Draw(rt, "from")]
@@ -149,8 +149,8 @@
 	}
 }
 
-// check fails the test unless each blocked host is blocked by a list that is newer than the
-// registry's own, within Lifetime.
+// check fails the test unless each blocked host was draining or gone within Lifetime in a list that is
+// newer than the registry's own.
 func (m *gossipModel) check(rt *rapid.T) {
 	for i, r := range m.registries {
 		for _, host := range modelHosts {
