--- a/internal/fleet/consensus/disk/store.go
+++ b/internal/fleet/consensus/disk/store.go
@@ -40,7 +40,7 @@
 	// ErrInUse means that another process has the file open.
 	ErrInUse = errors.New("disk: the store is in use by another process")
 	// ErrFull means that the file is larger than the maxBytes passed to Open.
-	ErrFull = errors.New("disk: the store is larger than its size limit")
+	ErrFull = errors.New("disk: the store has reached its bound")
 )
 
 // Store is an open file. It implements consensus.Store.
@@ -70,7 +70,7 @@
 	}()
 	return s.database.Update(func(tx *bbolt.Tx) error {
 		if tx.Size() > s.maxBytes {
-			return fmt.Errorf("%w: %d bytes, the limit is %d", ErrFull, tx.Size(), s.maxBytes)
+			return fmt.Errorf("%w of %d bytes: the file has %d", ErrFull, s.maxBytes, tx.Size())
 		}
 		if err := f(tx); err != nil {
 			return err
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -20,8 +20,8 @@
 	logTerm, logIndex uint64 // the last log entry that the replica must have
 }
 
-// joining holds the answers (welcome messages) of other processes to this process's hellos, and the
-// state from which this process answers theirs.
+// joining holds the answers (welcome messages) to this process's hellos, and the state from which
+// this process answers the hellos of others.
 type joining struct {
 	startedAt    Time                   // first tick or bootstrap; negative before the first tick
 	lastHello    Time                   // 0 before the first hello
@@ -45,8 +45,7 @@
 	}
 }
 
-// restart discards the answers and restarts the wait for other voters at now. It is called after a
-// bootstrap, since the earlier answers refer to a process without an identity.
+// restart discards the answers, which refer to no identity, and restarts the wait for voters at now.
 func (j *joining) restart(now Time) {
 	clear(j.answers)
 	j.startedAt = now
@@ -167,8 +166,8 @@
 	return nil
 }
 
-// staleCause returns why the store of this process is stale according to m, or storeCurrent if m does
-// not show that it is. If there are several causes, it returns the first.
+// staleCause returns the first reason why m shows the store of this process to be stale, or
+// storeCurrent if there is none.
 func (c *Core) staleCause(m welcome) staleCause {
 	lastIndex, lastTerm := c.recovered.lastEntry()
 	switch {
@@ -182,9 +181,8 @@
 	return storeCurrent
 }
 
-// tryStart completes the start once enough other voters have answered. A process with an identity
-// starts raft. A process without one joins as a new replica if a voter knows a group or if it is no
-// initial voter itself; otherwise it bootstraps the group once all other voters have answered.
+// tryStart completes the start once enough other voters have answered. A process without an identity
+// bootstraps the group, or becomes a new replica if a voter knows a group or it is no initial voter.
 func (c *Core) tryStart() {
 	others, answers := c.otherVoters(), c.joining.answers
 	hasGroup := false
@@ -219,9 +217,8 @@
 	return answers >= enough && (answers >= others || c.now-c.joining.startedAt >= otherVotersTimeout)
 }
 
-// startAsNewReplica starts raft with a new identity. This process either never was a member, or
-// lost its disk: then it may have voted with its earlier identity and must not vote with that
-// again.
+// startAsNewReplica starts raft with a new identity. This process never was a member, or it lost its
+// disk and must not vote again with its earlier identity, with which it may have voted.
 func (c *Core) startAsNewReplica(reason notMemberReason) {
 	nonce := c.rng.Uint32() | 1
 	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, nonce), Starts: 1}
--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -16,9 +16,8 @@
 // not have the version any more.
 type versionByNumber func(number uint64) *Version
 
-// next returns a copy of v with v's number plus 1 and a directory that is not nil. Changes may be
-// applied to the copy without changing v. The copy has no previous assignment, so it is never a
-// transitional version.
+// next returns a copy of v with the following number and a directory that is not nil, but without a
+// previous assignment. Changes may be applied to the copy without changing v.
 func (v *Version) next() *Version {
 	next := *v
 	next.Number++
@@ -70,9 +69,8 @@
 	return v.normalizeAndCheck()
 }
 
-// applyOperators replaces the operators' part: refusals, excluded hosts, pools, top-level accounts
-// and the operators' namespace. It keeps the customers' accounts that still have a parent, and the
-// namespaces of accounts that still exist.
+// applyOperators replaces the operators' part (see NewOperatorsChange). It keeps the customers'
+// accounts that still have a parent, and the namespaces of accounts that still exist.
 func (v *Version) applyOperators(base *Version, c *Change) error {
 	if err := checkBase(c.BaseVersion, base.OperatorsNumber, base.Number); err != nil {
 		return err
@@ -110,9 +108,8 @@
 	return accounts
 }
 
-// mergeNamespaces returns the proposed namespace of the operators with number as its version
-// number, and the old namespaces of accounts that still exist. It returns an error if an account's
-// namespace is proposed.
+// mergeNamespaces returns the proposed namespace of the operators with the version number, and the
+// old ones of accounts that still exist. It returns an error if an account's namespace is proposed.
 func mergeNamespaces(proposed, old []namespace.Namespace, accounts []namespace.Account, number uint64) (spaces []namespace.Namespace, err error) {
 	for _, s := range proposed {
 		if s.Account != "" {
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -96,9 +96,8 @@
 	return changed
 }
 
-// updateUnlisted marks the hosts that a complete list does not name as gone, and forgets those that
-// have been gone for longer than goneRetention. It returns fresh with the watermarks of the hosts
-// that are now gone appended.
+// updateUnlisted marks the hosts that a complete list does not name as gone, appends their watermarks
+// to fresh, and forgets the hosts that have been gone for longer than goneRetention.
 func (r *Registry) updateUnlisted(now Time, revision int64, complete bool, hosts []ListedHost, fresh []Watermark) []Watermark {
 	named := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
@@ -115,8 +114,8 @@
 }
 
 // updateHost updates one host of this proxy's list. It returns fresh, with the host's watermark
-// appended if the host has become draining or gone. A new host that is already gone is recorded
-// without a watermark, and a new host beyond maxWatermarks is ignored.
+// appended if the host has become draining or gone, unless it is new and gone. A new host beyond
+// maxWatermarks is ignored.
 func (r *Registry) updateHost(now Time, revision int64, h ListedHost, fresh []Watermark) []Watermark {
 	o, had := r.own[h.Host]
 	if had && o.state == h.State && o.startedAt == h.StartedAt {
@@ -145,8 +144,7 @@
 	return hosts
 }
 
-// Merge adds watermarks of other proxies' lists. It returns the hosts for which Blocks has changed;
-// a host that is not in this proxy's list counts as started at 0.
+// Merge adds watermarks of other proxies' lists and returns the hosts for which Blocks has changed.
 func (r *Registry) Merge(now Time, all []Watermark) (changed []string) {
 	for _, w := range all {
 		if r.merge(now, w) {
