--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -40,7 +40,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %s: %v", ErrUnreadable, s.path, p) // a panic of a read page
+			err = fmt.Errorf("%w: %s: %v", ErrUnreadable, s.path, p) // a page of the memory map could not be read
 		}
 		if err != nil {
 			s.failed = err
--- a/internal/fleet/consensus/disk/store.go
+++ b/internal/fleet/consensus/disk/store.go
@@ -23,14 +23,14 @@
 
 // Names of buckets and keys. They are part of the file format, so some differ from the Go names.
 var (
-	bucketMeta   = []byte("meta")
+	bucketMeta   = []byte("meta") // the records of the keys below
 	bucketLog    = []byte("log")  // entries by index
 	bucketStarts = []byte("seen") // consensus.StartRecord of other replicas by replica ID
 
 	keyIdentity  = []byte("identity")
 	keyHardState = []byte("hard")
 	keySnapshot  = []byte("snapshot")
-	keyExtent    = []byte("shape") // number of stored records; see type extent
+	keyExtent    = []byte("shape") // index of the last log entry and number of start records; see type extent
 )
 
 // Errors that Open and the methods of a Store return, wrapped with details.
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// restart discards the answers, which refer to no identity, and restarts the wait for voters at now.
+// restart discards answers to hellos without an identity, and restarts the wait for voters at now.
 func (j *joining) restart(now Time) {
 	clear(j.answers)
 	j.startedAt = now
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -82,8 +82,8 @@
 	return p
 }
 
-// Tick retransmits unacknowledged pieces and abandons the messages that have reached GiveUpAfter.
-// It must be called every 20 to 100 ms.
+// Tick retransmits unacknowledged pieces, and abandons the messages that were not acknowledged within
+// GiveUpAfter. It must be called every 20 to 100 ms.
 func (t *Transport) Tick(now Time) {
 	for _, id := range t.peerIDs {
 		p := t.peers[id]
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -44,7 +44,7 @@
 	migrationPacer *jobs.MigrationPacer // nil if the rate of migrations is not limited
 	rules          rulesState
 	quota          quotaState
-	unheardBy      map[string]int // by member name, how many members that have not left do not hear it
+	unheardBy      map[string]int // by member name: how many members that have not left receive no datagrams of that member
 	counts         Counts
 }
 
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// start starts a job as its owner. It returns an error if the job is unknown, fails to start or
-// panics.
+// start starts a job as its owner under a token, which is higher than that of each earlier owner. It
+// returns an error if the job is unknown, fails to start or panics.
 func (r *jobRunner) start(name string, token, checkpointNumber uint64, checkpoint []byte) (err error) {
 	job := r.byName[name]
 	if job == nil {
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -12,8 +12,8 @@
 	nanosPerMinute          = 6e10
 )
 
-// tokenBucket holds one token for each change that may be proposed immediately. Its capacity is the
-// changes of ten seconds, but at least one.
+// tokenBucket holds one token for each change that may be proposed immediately. It holds at most the
+// tokens that are added in ten seconds, or one if these are fewer.
 type tokenBucket struct {
 	tokens   float64
 	filledAt Time
