--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -45,8 +45,9 @@
 	return namespace.Account{Name: name, Tenants: subset("t1", "t2", "t3"), Pools: subset("a", "b"), Rate: limit(), Connections: limit()}
 }
 
-// checkAccounts checks that each tenant is only in one account and its ancestors, and that no child
-// account has larger limits than its parent.
+// checkAccounts checks that each tenant is only in one account and its ancestors, that no child
+// account has a larger rate than its parent, and that children together reserve no more of the rate
+// than their parent has reserved.
 func checkAccounts(rt *rapid.T, directory *namespace.Directory) {
 	compiled, err := namespace.Compile(directory)
 	if err != nil {
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -16,7 +16,7 @@
 // tokens that are added in ten seconds, or one if these are fewer.
 type tokenBucket struct {
 	tokens   float64
-	filledAt Time
+	filledAt Time // when tokens were last added
 }
 
 // consume refills the bucket for the time that has passed. It reports whether a token was
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -13,7 +13,7 @@
 // recorder records all messages between a publisher, its members and the group that stores the
 // checkpoints. A nil recorder records nothing.
 type recorder struct {
-	digest  *golden.Digest  // hash of all messages
+	digest  *golden.Digest  // hash of the messages, checkpoints and verdicts
 	samples *golden.Samples // nil if only the digest is recorded
 }
 
