--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -1,7 +1,8 @@
 package balancer
 
-// newerDuration is how long a host counts as newer after its start, in slow starts. A host takes
-// longer to fill than to warm up.
+// newerDuration is how long a host counts as newer after its start, as a multiple of
+// Config.SlowStartDuration. A host takes longer to fill with connections than to reach its full
+// capacity.
 const newerDuration = 4
 
 // ageGroup distinguishes the hosts that have started recently from the others.
@@ -9,7 +10,7 @@
 
 const (
 	anyAge       ageGroup = iota // newer and older hosts
-	newer                        // started within newerDuration
+	newer                        // started less than newerDuration slow starts ago
 	older                        // started earlier
 	numAgeGroups                 // number of values
 )
@@ -24,10 +25,11 @@
 
 // preferredAgeGroup returns the age group whose hosts are tried first for a request: newer if the
 // newer hosts hold less than their share of what this balancer has placed, else older. It returns
-// anyAge if hosts report their load, if traffic is not sparse, or if no host is newer. If traffic
-// is sparse, a balancer's own load tells nothing about a single host, but something about an age
-// group. Each balancer rounds the share at random, by a hash of the request's ID, so that all
-// balancers together keep to it.
+// anyAge if hosts report their load, if traffic is not sparse (less than one connection per host at
+// each balancer), or if no host is newer. The load that one balancer has placed tells nothing about
+// a single host if traffic is sparse, but something about an age group. A balancer counts a random
+// fraction of the request's cost, by a hash of the request's ID, so that all balancers together
+// place the right share.
 func (b *Balancer) preferredAgeGroup(r *request) ageGroup {
 	if b.hostsReportLoad() || !b.sparseTraffic() {
 		return anyAge
@@ -51,8 +53,9 @@
 	return older
 }
 
-// excludedByAge reports whether a host is not in the given age group. A warming host is in both
-// groups, since it has a budget of its own.
+// excludedByAge reports whether a host is not in the given age group. No host is excluded for
+// anyAge. A warming host, whose capacity is below 1, counts as both newer and older, since its slow
+// start budget limits its requests anyway.
 func (b *Balancer) excludedByAge(h *host, age ageGroup) bool {
 	return age != anyAge && b.ageGroup(h) != age && (age == newer || b.fullCapacityShare(h) >= 1)
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -10,6 +10,15 @@
 // describes the order in which the rules apply to a request; docs/design.md describes where and why
 // they go beyond PIP-425.
 //
+// # Terms
+//
+//	fleet           all hosts of the endpoint list
+//	group           connections that Request.Group names; they cost less together on one host
+//	age group       the recently started hosts, or the others (agegroup.go)
+//	set-up          the time from the start of an attempt until its connection is established
+//	ledger server   the balancer that counts the connections of all balancers and assigns hosts
+//	warming host    a host in slow start: its capacity still grows, and a budget limits its requests
+//
 // # Units
 //
 //	load, cost      work per second on a standard core, in nanoseconds, as in Request.ExpectedLoad
@@ -18,7 +27,7 @@
 //	ledger units    turns * ledger.UnitsPerConnection, 1 to ledger.MaxUnits
 //	reported load   fraction of a host's capacity; 1 is full (currentLoad, fleetLoad.mean)
 //	weight          a host's capacity relative to others; 1 if the list states none
-//	message delay   relative to the shortest message latency objective of all classes
+//	message delay   multiple of the shortest message latency objective of all classes
 //	Time            nanoseconds
 package balancer
 
@@ -39,10 +48,10 @@
 	rng     *rand.Rand // used in the order of events; another order changes the decisions
 	now     Time       // time of the current event
 
-	endpointList // embedded, since most rules iterate over the hosts
-	requests     map[string]*request
+	endpointList                     // embedded, since most rules iterate over the hosts
+	requests     map[string]*request // by request ID
 
-	establishedConnections int // open ones that this balancer placed or adopted
+	establishedConnections int // open connections that this balancer placed or adopted
 
 	discovery  discoveryPoller
 	ejection   ejection
@@ -61,7 +70,8 @@
 	loadBuffer      []reportedLoad
 }
 
-// Errors that New returns for missing Effects and for unusable settings. New wraps ErrEjectionMax.
+// Errors that New returns for missing Effects and for unusable settings. New wraps ErrEjectionMax in
+// an error that adds the two durations.
 var (
 	ErrNoEffects   = errors.New("balancer: Effects must not be nil")
 	ErrNoClasses   = errors.New("balancer: settings name no class of request")
@@ -158,7 +168,8 @@
 	}
 }
 
-// beginEvent sets the time of the current event. The first event starts the timers.
+// beginEvent sets the time of the current event. The first event starts the clocks of the decaying
+// counts and the timers of the periodic tasks.
 func (b *Balancer) beginEvent(now Time) {
 	b.now = now
 	if b.traffic.observedSince >= 0 {
@@ -177,7 +188,8 @@
 }
 
 const (
-	// updatesPerEjection is the largest number of periodic updates during a first ejection.
+	// updatesPerEjection is the largest number of periodic updates during an ejection of the initial
+	// duration.
 	updatesPerEjection = 8
 	// minUpdateInterval, in nanoseconds, limits the cost of updates: each iterates over all hosts.
 	minUpdateInterval = 100e6
@@ -188,7 +200,8 @@
 	return max(b.cfg.Tick, b.ejection.initial/updatesPerEjection, minUpdateInterval)
 }
 
-// periodicUpdate updates the state that changes with time alone, without events.
+// periodicUpdate updates the state that changes with time alone: the ledger, the fleet's weight and
+// load shedding. It schedules its next call.
 func (b *Balancer) periodicUpdate() {
 	b.schedule(b.updateInterval(), timerUpdate)
 	b.maintainLedger()
@@ -196,5 +209,5 @@
 	b.updateShedding(readyWeight)
 }
 
-// stableHash returns the hash of a name, which is the same at every balancer.
+// stableHash returns the hash of a name. Every balancer computes the same hash.
 func stableHash(name string) uint64 { return rendezvous.Hash(name) }
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -4,11 +4,11 @@
 
 // Limits of the backoff of polls of discovery, in nanoseconds.
 const (
-	// pollSpacing is the mean time between two polls of all balancers together while discovery
-	// fails: its capacity does not grow with their number.
+	// pollSpacing is the mean time between two polls by any of the balancers while discovery fails.
+	// The capacity of discovery does not grow with the number of balancers.
 	pollSpacing = 5e7
-	// maxPollBackoff keeps the delays of a small fleet short enough for a second poll before all
-	// balancers are expected to know of a change.
+	// maxPollBackoff limits the exponential part of the delay, so that few balancers poll a second
+	// time before all balancers are expected to know of a change.
 	maxPollBackoff = 1.2e9
 	// maxPollDelay is the longest delay after a failed poll: a balancer is expected to know of a
 	// change after 6 s.
@@ -19,7 +19,7 @@
 type discoveryPoller struct {
 	watching bool // subscribed to changes of the endpoint list
 	polling  bool // a subscription was requested, and neither a list nor a failure has arrived
-	failures int  // consecutive
+	failures int  // consecutive failures
 }
 
 // failed records a failure of discovery, which ends the subscription.
@@ -36,8 +36,8 @@
 }
 
 // delayAfterFailure returns the time from a failed poll to the next one, before jitter, in
-// nanoseconds. Its limits keep it short enough for the balancer to learn of a draining host in
-// time.
+// nanoseconds. instances is the number of balancers. The delay is at most maxPollDelay and half of
+// pollInterval, so that the balancer learns of a draining host in time.
 func (d *discoveryPoller) delayAfterFailure(pollInterval Time, instances int) float64 {
 	limit := min(float64(pollInterval)/2, maxPollDelay)
 	backoff := min(maxPollBackoff, limit/8*math.Pow(2, float64(min(d.failures, 8)-1)))
@@ -54,8 +54,8 @@
 	b.effects.WatchList(true)
 }
 
-// schedulePoll schedules the next poll after a failure. It has no effect if the balancer does not
-// poll discovery.
+// schedulePoll schedules the next poll after a failure, with jitter: after a quarter to all of
+// delayAfterFailure. It has no effect if the balancer does not poll discovery.
 func (b *Balancer) schedulePoll() {
 	if !b.cfg.PollsDiscovery {
 		return
--- a/internal/balancer/effects.go
+++ b/internal/balancer/effects.go
@@ -3,8 +3,8 @@
 // Effects are the actions that a Balancer can take. The caller carries them out in the order of the
 // calls.
 type Effects interface {
-	// StartAttempt starts the next attempt of a request at a host. The attempt ends with Timeout if
-	// no answer arrives within the timeout.
+	// StartAttempt starts the next attempt of a request at a host; request and host are IDs. The
+	// attempt ends with status Timeout if no answer arrives within the timeout.
 	StartAttempt(request, host string, timeout Time)
 	// Reject gives a request the final answer that it was not served and that a retry is harmless.
 	// If retryAfter is above 0, the client receives it as Retry-After.
@@ -25,7 +25,7 @@
 	WatchList(on bool)
 	// FetchList fetches the complete endpoint list once.
 	FetchList()
-	// Schedule requests a call of TimerFired with the token after the delay.
+	// Schedule requests one call of TimerFired with the token after the delay.
 	Schedule(delay Time, token string)
 	// Report passes on an event for the log.
 	Report(e Event)
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// maxEjectionFactor is the default of the longest ejection, in longest deadlines: three
-	// doublings of the default first one. A longer ejection would outlast the fault.
+	// maxEjectionFactor is the default duration of the longest ejection, as a multiple of the longest
+	// deadline of all classes: three doublings of the default first ejection. A longer ejection would
+	// outlast the fault.
 	maxEjectionFactor = 8.0
-	// sharedFaultShare is the fraction of set-ups, or of a zone's hosts, that has to fail for the
-	// fault not to be attributed to a single host.
+	// sharedFaultShare is the fraction from which on failures count as shared, not as the fault of a
+	// single host: the fraction of recent set-ups that timed out, or of a zone's hosts that failed.
 	sharedFaultShare = 0.5
-	// minTimeoutEvidence is how many set-ups must have ended recently before a timeout may count as
-	// shared.
+	// minTimeoutEvidence is how many set-ups of connections must have succeeded or timed out recently
+	// before a timeout may count as shared.
 	minTimeoutEvidence = 4
-	// evidenceTimeConstant is the time constant with which set-ups fade, in longest latency
-	// objectives.
+	// evidenceTimeConstant is the time constant with which the counts of setupEvidence decay, as a
+	// multiple of the longest latency objective of all classes.
 	evidenceTimeConstant = 2
 )
 
@@ -25,7 +26,7 @@
 	consecutiveFailures int
 	until               Time // end of the ejection
 	failedAt            Time // of the last failure that hostFailed did not ignore
-	trials              int  // approximate number of attempts in flight that began after a failure
+	trials              int  // approximate number of trials: attempts in flight that began after a failure
 }
 
 // ejection holds the settings of the ejection rule and the evidence of shared faults.
@@ -34,8 +35,10 @@
 	evidence     setupEvidence
 }
 
-// newEjection derives the durations that the settings leave open. By default, the first ejection is
-// as long as the longest deadline, before jitter, which may halve it.
+// newEjection returns the ejection rule for the settings, or an error that wraps ErrEjectionMax if
+// the longest ejection is shorter than the first one. It derives the durations that are negative in
+// the settings. The derived first ejection is as long as the longest deadline. Jitter may halve any
+// ejection.
 func newEjection(cfg *Config) (ejection, error) {
 	longestDeadline := Time(0)
 	for _, c := range cfg.Classes {
@@ -55,21 +58,25 @@
 	return e, nil
 }
 
-// period returns how long a host is ejected after a number of consecutive failures, before jitter.
+// period returns how long a host is ejected after the given number of consecutive failures, before
+// jitter. Not more than 29 doublings are computed, so that the result does not overflow.
 func (e *ejection) period(failures int) Time {
 	return min(e.max, Time(float64(e.initial)*math.Pow(2, float64(min(failures, 30)-1))))
 }
 
-// blocks reports whether a host is ejected, or a trial of it is in flight.
+// blocks reports whether a host is ejected, or has failed and an attempt that may show its recovery
+// (a trial) is in flight.
 func (e *ejection) blocks(now Time, h *hostEjection) bool {
 	return h.consecutiveFailures > 0 && e.initial > 0 && (now < h.until || h.trials > 0)
 }
 
-// setupEvidence counts how recent set-ups at all hosts ended. The counts fade.
+// setupEvidence counts how the set-ups of connections at all hosts ended recently. It is the
+// evidence by which a timeout is attributed to one host or to a shared fault. The counts decay
+// exponentially.
 type setupEvidence struct {
-	longestObjective    Time // the longest latency objective
+	longestObjective    Time // the longest latency objective of all classes
 	succeeded, timedOut float64
-	fadedAt             Time
+	fadedAt             Time // time up to which the decay is applied
 }
 
 // fade applies the decay of the counts up to now.
@@ -84,9 +91,9 @@
 	e.succeeded++
 }
 
-// addTimeout counts a timeout, and reports whether at least half of the recent set-ups timed out. In
-// that case the store that the hosts share or the network links are slow, and the timeout is no
-// evidence against a single host.
+// addTimeout counts a timeout, and reports whether it is shared: at least minTimeoutEvidence set-ups
+// have ended recently, and at least half of them by timeout. In that case the store that the hosts
+// share or the network links are slow, and the timeout is no evidence against a single host.
 func (e *setupEvidence) addTimeout(now Time) (shared bool) {
 	e.fade(now)
 	e.timedOut++
@@ -126,8 +133,10 @@
 }
 
 // hostFailed ejects a host that failed an attempt sent at sentAt, for a random time from half of the
-// ejection period up to all of it. Consecutive failures double the period, unless zoneFailing
-// reports true. proven is false for a timeout, which may not be the host's fault.
+// ejection period up to all of it. Consecutive failures double the period, unless most hosts of the
+// zone are failing. proven is true if the host is known to have failed, and false for a timeout,
+// which may have another cause. hostFailed ignores a failure if ejection is disabled, if a timeout
+// counts as shared, or if the attempt was sent before the last counted failure.
 func (b *Balancer) hostFailed(h *host, sentAt Time, proven bool) {
 	if b.ejection.initial == 0 || b.ejection.max == 0 {
 		return
@@ -153,9 +162,9 @@
 	}
 }
 
-// zoneFailing reports whether more than one and at least half of a zone's ready hosts have failed
-// and not succeeded since. In that case the fault is the zone's, and doubled ejections would exclude
-// its hosts long after the fault has ended.
+// zoneFailing reports whether at least two ready hosts of a zone, and at least half of them, have
+// failed and not succeeded since. zone is an index. In that case the fault is the zone's, and
+// doubled ejections would exclude its hosts long after the fault has ended.
 func (l *endpointList) zoneFailing(zone int) bool {
 	ready, failing := 0, 0
 	for _, h := range l.hosts {
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -6,7 +6,8 @@
 )
 
 // HostState is the state of a host with regard to placement. It is set by discovery, by an
-// operator's suspension, or by another proxy's watermark, which counts as Draining.
+// operator's suspension, or by another proxy that has seen the host drain (a watermark, which counts
+// as Draining).
 type HostState int
 
 // Values of HostState. Only Ready hosts get new connections.
@@ -33,20 +34,20 @@
 
 // Values of ListChange.
 const (
-	ListDelta  ListChange = iota // holds only hosts that have changed
-	ListFull                     // holds all hosts; absent ones are removed
-	ListCached                   // holds all hosts as this balancer last knew them; may be outdated
-	ListFailed                   // means that a poll of discovery failed or a watch broke; no entries
-	ListLocal                    // holds changes made in this proxy: by suspension, watermark or pool
+	ListDelta  ListChange = iota // the list holds only hosts that have changed
+	ListFull                     // the list holds all hosts; absent ones are removed
+	ListCached                   // like ListFull, as this balancer last knew the hosts; may be outdated
+	ListFailed                   // a poll of discovery failed or a watch broke; the list is empty
+	ListLocal                    // like ListDelta, for changes by suspension, watermark or pool in this proxy
 )
 
 // endpointList holds the hosts that any endpoint list has named since the start.
 type endpointList struct {
-	hosts        []*host // sorted by ID, the order of the rotation at every balancer
-	byID         map[string]*host
-	zones        map[string]int // indexes by name
-	ownZone      int            // index of this balancer's zone
-	listReceived bool           // whether a list with hosts has arrived
+	hosts        []*host          // sorted by ID, the order of the rotation at every balancer
+	byID         map[string]*host // by host ID
+	zones        map[string]int   // index by zone name
+	ownZone      int              // index of this balancer's zone
+	listReceived bool             // whether a list with hosts has arrived
 }
 
 // newEndpointList returns a list without hosts that has the zones of the settings.
@@ -75,7 +76,7 @@
 	l.hosts = append(l.hosts, h)
 }
 
-// sortByID restores the order of the rotation.
+// sortByID sorts the hosts by ID, the order of the rotation at every balancer.
 func (l *endpointList) sortByID() {
 	sort.Slice(l.hosts, func(i, j int) bool { return l.hosts[i].hostID < l.hosts[j].hostID })
 }
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// allHostsSuspended reports whether no host is ready and operators have suspended at least one, so
-// that no request should wait for a host.
+// allHostsSuspended reports whether no host is ready and operators have suspended at least one. In
+// that case no request should wait for a host.
 func (l *endpointList) allHostsSuspended() bool {
 	suspended := false
 	for _, h := range l.hosts {
@@ -104,7 +105,9 @@
 	return suspended
 }
 
-// ListReceived applies an endpoint list. Lists have to arrive in the order of their versions.
+// ListReceived applies an endpoint list, or records a failure of discovery if kind is ListFailed.
+// Lists have to arrive in the order of their versions. ListReceived then places the requests that
+// wait for a host.
 func (b *Balancer) ListReceived(now Time, kind ListChange, entries []ListedHost) {
 	b.beginEvent(now)
 	if kind == ListFailed {
@@ -150,14 +153,15 @@
 	}
 }
 
-// updateHost applies an entry of a list, and reports whether its host is new.
+// updateHost applies an entry of a list, and reports whether its host is new. It resets the state of
+// a host that has restarted or is no longer suspended.
 func (b *Balancer) updateHost(entry *ListedHost) (added bool) {
 	h := b.byID[entry.ID]
 	if h == nil {
 		h = &host{hostID: entry.ID, hash: stableHash(entry.ID), startedAt: entry.StartedAt}
 		h.slowStart = slowStartBudget{tokens: b.slowStartStagger(h), filledAt: b.now}
-		// A new host starts at a place in the rotation that differs between balancers and is not
-		// behind most other hosts.
+		// deficit is the number of turns that the rotation owes the host, -0.5 to 0.5 here: the host
+		// starts at a place that differs between balancers and is not behind most other hosts.
 		h.deficit = 0.5 - h.slowStart.tokens
 		b.add(h)
 		added = true
@@ -175,9 +179,9 @@
 	return added
 }
 
-// spreadRotation starts each balancer's rotation at a different place in the common order. The
-// rotations of balancers with little traffic then interleave evenly instead of all beginning with
-// the same host.
+// spreadRotation sets the deficits so that each balancer's rotation starts at a different place in
+// the order by ID. The rotations of balancers with little traffic then interleave evenly instead of
+// all beginning with the same host.
 func (b *Balancer) spreadRotation() {
 	n := float64(len(b.hosts))
 	start := float64(b.cfg.Instance%b.cfg.Instances) / float64(b.cfg.Instances)
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -3,22 +3,25 @@
 import "croftlock/internal/balancer/loadestimate"
 
 // host is the state of an upstream host at one balancer. Each rule keeps its state in a field of
-// its own.
+// its own: the last seven fields.
 type host struct {
-	hostID     string
-	hash       uint64 // of hostID
-	zone, cell int
-	weight     float64 // above 0
-	startedAt  Time    // its latest start; 0 if it was long ago
-	state      HostState
-	listed     bool // whether the last complete list, or a change since then, names it
+	hostID    string
+	hash      uint64  // of hostID
+	zone      int     // index in endpointList.zones
+	cell      int     // number of its cell, for ScopeCell
+	weight    float64 // capacity relative to other hosts, above 0
+	startedAt Time    // its latest start; 0 if it was long ago
+	state     HostState
+	listed    bool // whether the last complete list, or a change since then, names it
 
-	connections []*request // open ones that this balancer placed or adopted
+	connections []*request // open connections that this balancer placed or adopted
 	load        float64    // of connections, in the unit of Request.ExpectedLoad
 
-	deficit      float64 // turns owed; the smooth weighted rotation picks the host with the most
+	// deficit is how many turns (mean connections) the rotation owes the host. The smooth weighted
+	// rotation prefers the hosts with the largest deficits.
+	deficit      float64
 	ejection     hostEjection
-	fullUntil    Time // it counts as full until then, after an attempt that ended with status Full
+	fullUntil    Time // the host counts as full until then, after an attempt that ended with status Full
 	errors       errorScore
 	messages     messageDelay
 	slowStart    slowStartBudget
@@ -27,9 +30,9 @@
 }
 
 // restarted resets the failures and other state of the host's previous process. Otherwise a host
-// that came back would stay ejected for the remaining time. tokens is the initial fill of its slow
-// start budget. restarted ends an ejection without reporting HostReadmitted, and is also called when
-// an operator's suspension ends.
+// that came back would stay ejected for the remaining time. tokens, in mean connections, is the
+// initial fill of the budget that limits its requests during slow start. restarted ends an ejection
+// without reporting HostReadmitted. It is also called when an operator's suspension ends.
 func (h *host) restarted(now, startedAt Time, tokens float64) {
 	h.startedAt = startedAt
 	h.ejection.consecutiveFailures, h.ejection.until = 0, 0
@@ -41,8 +44,8 @@
 	h.deficit = min(h.deficit, 0)
 }
 
-// connectionEstablished adds an open connection to the counts of its host, its tenant and the
-// ledger.
+// connectionEstablished adds the connection of r, which is at r.host, to the counts of its host, its
+// tenant and the ledger server.
 func (b *Balancer) connectionEstablished(r *request) {
 	h := r.host
 	r.established, r.connectionIndex, r.load = true, len(h.connections), r.cost
@@ -55,7 +58,7 @@
 	}
 }
 
-// connectionEnded undoes connectionEstablished. It has no effect if the connection was not open.
+// connectionEnded undoes connectionEstablished. It has no effect if r has no open connection.
 func (b *Balancer) connectionEnded(r *request) {
 	if !r.established {
 		return
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -1,6 +1,7 @@
 package balancer
 
-// retryForbidden reports whether another attempt could apply a request's effect twice.
+// retryForbidden reports whether another attempt could apply a request twice: an earlier attempt may
+// have run, and hosts do not discard a repeat.
 func (b *Balancer) retryForbidden(r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
@@ -29,8 +30,8 @@
 	return false
 }
 
-// clientRetryUnsafe reports whether a request may have run and a retry by its client could apply
-// the effect twice, so that the client must not be told that a retry is harmless.
+// clientRetryUnsafe reports whether a request may have run and a retry by its client could apply it
+// twice. In that case the client must not be told that a retry is harmless.
 func (b *Balancer) clientRetryUnsafe(r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -7,30 +7,34 @@
 )
 
 const (
-	// freshRequestWindow is the time constant, in nanoseconds, with which the ledger server counts
-	// fresh requests.
+	// freshRequestWindow is the time constant, in nanoseconds, of the ledger server's decaying count
+	// of fresh requests (those that are not retries).
 	freshRequestWindow = 1e10
-	// The loads here are mean connections per unit of weight of a host. A host counts as full at
-	// assignLoadSlack times the mean load, and as overfull at assignOverfullMargin more than that.
-	// assignOverfullCost is the additional cost of each unit of load beyond that.
+	// The loads and costs of the following constants are mean connections per unit of weight of a
+	// host. A host counts as full at assignLoadSlack times the mean load of the hosts, and as
+	// overfull from assignOverfullMargin above that load. Each unit of load above the overfull load
+	// adds assignOverfullCost to the cost.
 	assignLoadSlack      = 1.15
 	assignOverfullMargin = 4.0
 	assignOverfullCost   = 10.0
-	// assignNewGroupCost is the additional cost of a host that does not hold the request's group
-	// yet, as a multiple of the load that a new group causes there.
+	// assignNewGroupCost is the additional cost of a host that does not hold the request's group (of
+	// connections that cost less together) yet, as a multiple of the load that a new group causes.
 	assignNewGroupCost = 1.0
-	// assignCrossZoneCost is the cost, as a load, of a host in another zone, and assignStallCost
-	// that of a host that delays messages by the shortest message latency objective.
+	// assignCrossZoneCost is the additional cost of a host in another zone than the querying balancer.
+	// assignStallCost is that of a host that delays messages by the shortest message latency
+	// objective; it is proportional to the delay.
 	assignCrossZoneCost = 2.0
 	assignStallCost     = 10.0
-	// assignSlowStartShare is the share that the ledger server assigns of the requests that a
-	// warming host may get by chance. The rest is left for requests that had no reply.
+	// assignSlowStartShare is the fraction of the requests that a warming host may get within the
+	// overload window that the ledger server assigns. The rest is left for requests whose query had
+	// no reply.
 	assignSlowStartShare = 0.75
 )
 
-// assignHost returns the ledger server's choice for a query of balancer from: the assignable host
-// with the lowest assignCost, or nil if no host is assignable. It records the assignment, so that a
-// warming host's budget is counted for all balancers together.
+// assignHost returns the ledger server's choice for a query of the balancer with number from: the
+// assignable host with the lowest assignCost, or nil if no host is assignable. It adds the load of
+// the query to the ledger and records the assignment, so that a warming host's budget is counted for
+// all balancers together. It counts a query that is no retry as a fresh request.
 func (b *Balancer) assignHost(from int, q ledger.Query) *host {
 	if !q.Retry {
 		b.ledger.freshRequests.Add(b.now, freshRequestWindow, 1)
@@ -53,8 +57,9 @@
 	return best
 }
 
-// assignable reports whether the ledger server may assign a host. The ledger server's own
-// observations of the host apply to the requests of all balancers.
+// assignable reports whether the ledger server may assign a host: the host is ready, neither full
+// nor ejected, and its slow start budget allows a request. The ledger server's own observations of
+// the host apply to the requests of all balancers.
 func (b *Balancer) assignable(h *host) bool {
 	if h.state != Ready || b.now < h.fullUntil {
 		return false
@@ -65,8 +70,8 @@
 	return b.fullCapacityShare(h) >= 1 || b.slowStartBudgetLeft(h)
 }
 
-// meanLedgerLoad returns the load that all balancers hold at the ready hosts, relative to the
-// current capacity of these.
+// meanLedgerLoad returns the load that all balancers hold at the ready hosts, in mean connections,
+// divided by the current capacity of these hosts. It includes firstOfGroupCost for each group.
 func (b *Balancer) meanLedgerLoad() float64 {
 	load, capacity := 0.0, 0.0
 	for _, h := range b.hosts {
@@ -98,16 +103,17 @@
 	return cost + assignStallCost*b.currentMessageDelay(h)
 }
 
-// slowStartBudgetLeft reports whether a warming host's budget allows one more request. If the
-// settings allow n requests in the overload window, up to n + 3 √n + 3 may arrive by chance. The
-// ledger server assigns a share of that number, which it counts exactly.
+// slowStartBudgetLeft reports whether the ledger server may assign one more request to a warming
+// host. If the settings allow n requests in the overload window, up to n + 3 √n + 3 may arrive by
+// chance. The ledger server assigns at most assignSlowStartShare of that number.
 func (b *Balancer) slowStartBudgetLeft(h *host) bool {
 	fresh := &b.ledger.freshRequests
 	fresh.Add(b.now, freshRequestWindow, 0)
 	rate := max(fresh.Sum/(freshRequestWindow/1e9), b.traffic.expectedRate*float64(b.cfg.Instances))
 	window := float64(b.cfg.SlowStartOverloadWindow)
 	n := b.slowStartShare(h) * rate * window / 1e9
-	// n is reduced to what the host's capacity at the start of the window allows.
+	// n is computed from the host's capacity now. The next line reduces n to its capacity at the start
+	// of the window.
 	share, gain := b.fullCapacityShare(h), (1-b.cfg.SlowStartFloor)*window/float64(b.cfg.SlowStartDuration)
 	n *= max(b.cfg.SlowStartFloor, share-gain) / share
 	assigned := b.ledger.placements.AssignmentsSince(uint32(h.hash), b.now-b.cfg.SlowStartOverloadWindow)
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -7,33 +7,40 @@
 
 const (
 	// ledgerReplyTimeout is how long a request waits for the ledger server's reply, in nanoseconds.
-	// A request that has less than minReplyTimeoutsLeft times as long until its deadline does not
-	// query, so that a wait without a reply costs it little of its time.
-	ledgerReplyTimeout   = 150e6
+	ledgerReplyTimeout = 150e6
+	// minReplyTimeoutsLeft is the shortest time until a request's deadline at which the ledger server
+	// is queried, as a multiple of ledgerReplyTimeout. A wait without a reply then costs the request
+	// at most 1/8 of its time.
 	minReplyTimeoutsLeft = 8
 )
 
-// placementLedger is this balancer's state as a client of the placement ledger and, if it is one,
-// as a ledger server. No balancer alone observes how full hosts are or how large a group is. If
-// balancers may send each other messages, they query the ledger server, which counts the
-// connections of all of them, for a host. Without its reply, each places requests by what it
-// observes itself.
+// placementLedger is this balancer's state as a client of the placement ledger, and as a ledger
+// server if this balancer is one. The placement ledger is the count of the connections of all
+// balancers by host and group (connections that Request.Group names and that cost less together).
+// One balancer, the ledger server, keeps the count and assigns hosts to the requests of the others,
+// because no balancer alone observes how full hosts are or how large a group is. A balancer that
+// gets no reply, or may not send messages, places requests by what it observes itself.
 type placementLedger struct {
-	client        *ledger.Client
-	placements    *ledger.Placements // used if this balancer is a ledger server
-	freshRequests decay.Counter      // of all balancers; used if this one is a ledger server
-	announced     bool               // whether epoch is set, and announced if this one is a ledger server
-	epoch         byte               // of this process
-	syncDue       Time               // when to send the ledger server all connections of this balancer
+	client *ledger.Client
+
+	// Used only if this balancer is a ledger server.
+	placements    *ledger.Placements
+	freshRequests decay.Counter // requests of all balancers that are no retries, over freshRequestWindow
+
+	announced bool // whether epoch is set; a ledger server has then also sent its Announcement
+	epoch     byte // distinguishes this process from earlier ones, by its start time in epochUnit
+	syncDue   Time // when to send the ledger server entries for all connections; 0 means at once
 }
 
 // ledgerQuery is the state of a request's query to the ledger server.
 type ledgerQuery struct {
-	sent          bool
+	sent          bool // the query was made; if no message was sent, it is not made again either
 	awaitingReply bool
-	replied       bool
-	assigned      *host // host in the reply, until the connection is established; nil if none
-	units         int   // load in ledger units; 0 until it is computed
+	replied       bool // a reply arrived, or this balancer is the ledger server
+	// assigned is the host that the ledger server chose. It is nil if there is none, and again once
+	// the connection is established or the request is closed (reconcileLedger).
+	assigned *host
+	units    int // load in ledger units, 1/8 of a mean connection each; 0 until it is computed
 }
 
 // newPlacementLedger returns the state of a balancer that has exchanged no messages yet.
@@ -41,11 +48,13 @@
 	return placementLedger{client: ledger.NewClient(cfg.Instances), placements: ledger.NewPlacements()}
 }
 
-// ledgerUsable reports whether there are other balancers and messages to them are allowed.
+// ledgerUsable reports whether there are other balancers and messages to them are allowed. MayGossip
+// allows all messages between balancers.
 func (b *Balancer) ledgerUsable() bool { return b.cfg.MayGossip && b.cfg.Instances > 1 }
 
-// ledgerUnits returns a connection's load in ledger units. It computes the load once, so that the
-// same number is added to the ledger and subtracted later.
+// ledgerUnits returns a connection's load in ledger units, of which a mean connection has
+// ledger.UnitsPerConnection. It computes the load once, so that the same number is added to the
+// ledger and subtracted later.
 func (b *Balancer) ledgerUnits(r *request) int {
 	if r.ledger.units == 0 {
 		units := int(b.costs.turns(r.cost)*ledger.UnitsPerConnection + 0.5)
@@ -54,13 +63,14 @@
 	return r.ledger.units
 }
 
-// queryLedger queries the ledger server for a host, once for the first attempt of a request that
-// belongs to a group and is not marked by load shedding. It reports whether the request waits for
-// the reply. If this balancer is the ledger server, it assigns the host at once.
+// queryLedger queries the ledger server for a host. It does so at most once per request, before the
+// first attempt, if the request belongs to a group and load shedding has not restricted it to
+// warming hosts (shedUnlessWarmingHost). If this balancer is the ledger server, queryLedger assigns
+// the host at once. It reports whether it has queued the request to wait for the reply.
 func (b *Balancer) queryLedger(r *request) (waits bool) {
 	server := b.ledger.client.Server(b.now)
 	if r.ledger.sent || r.attempts > 0 || r.shedUnlessWarmingHost || r.Group == "" ||
-		!b.ledgerUsable() || server < 0 {
+		!b.ledgerUsable() || server < 0 { // server is -1 while queries are paused
 		return false
 	}
 	r.ledger.sent = true
@@ -76,6 +86,7 @@
 	q.Seq = b.ledger.client.Register(
 		ledger.PendingQuery{Request: r.ID, Group: q.Group, Units: q.Units, SentAt: b.now})
 	b.effects.SendToPeer(server, q.Append(nil))
+	// drainQueue places the request without a reply once notBefore has passed.
 	r.ledger.awaitingReply, r.wait.notBefore = true, b.now+ledgerReplyTimeout
 	b.enqueue(r)
 	return true
@@ -91,9 +102,9 @@
 	return h
 }
 
-// ledgerReplyReceived places the request to which a reply belongs, at the host in the reply if that
-// is usable. If the request no longer waits, it tells the ledger server that the assignment is not
-// used.
+// ledgerReplyReceived handles a reply of ledger server from. It places the request to which the
+// reply belongs, at the host in the reply if that host is usable. If the request no longer waits,
+// ledgerReplyReceived notifies the ledger server that the assignment is not used.
 func (b *Balancer) ledgerReplyReceived(from int, m ledger.Reply) {
 	query := b.ledger.client.RemovePending(m.Seq)
 	if query == nil {
@@ -101,7 +112,7 @@
 	}
 	r := b.requests[query.Request]
 	if r == nil || r.closed || !r.ledger.awaitingReply || query.Abandoned {
-		if m.Host != 0 {
+		if m.Host != 0 { // 0 means that no host was assigned
 			undo := ledger.Entry{Host: m.Host, Group: query.Group, Units: -query.Units}
 			b.effects.SendToPeer(from, undo.Append(nil))
 		}
@@ -112,18 +123,19 @@
 	b.place(r)
 }
 
-// ledgerQueryTimedOut ends a request's wait for the reply. The caller places the request without
-// one.
+// ledgerQueryTimedOut ends a request's wait for the reply of the ledger server. The caller then
+// places the request without a reply.
 func (b *Balancer) ledgerQueryTimedOut(r *request) {
 	r.ledger.awaitingReply, r.wait.notBefore = false, 0
 	b.ledger.client.QueryTimedOut(b.now, r.ID)
-	if b.ledger.client.Server(b.now) < 0 {
+	if b.ledger.client.Server(b.now) < 0 { // all ledger servers were tried, and queries are paused
 		b.effects.Report(LedgerUnreachable{})
 	}
 }
 
-// reconcileLedger corrects the ledger server's count if a request's connection is not at the
-// assigned host. h is the host of the connection, or nil if there is none.
+// reconcileLedger corrects the ledger server's count if a request's connection is not at the host
+// that the ledger server assigned and counted. h is the host of the connection, or nil if there is
+// no connection. The assignment is cleared.
 func (b *Balancer) reconcileLedger(r *request, h *host) {
 	assigned := r.ledger.assigned
 	r.ledger.assigned = nil
