--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -3,7 +3,7 @@
 import "croftlock/internal/balancer/loadestimate"
 
 // host is the state of an upstream host at one balancer. Each rule keeps its state in a field of
-// its own: the last seven fields.
+// its own.
 type host struct {
 	hostID    string
 	hash      uint64  // of hostID
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -2,20 +2,24 @@
 
 import "croftlock/internal/balancer/ledger"
 
+// The ledger server is the balancer that counts the connections of all balancers and assigns hosts.
+// A synchronization sends it the connections that one balancer holds, by host and group.
 const (
 	// syncSpread is the time over which all balancers send their connections to a new ledger
 	// server. syncInterval is the mean time after which each does so again, to correct for lost
 	// messages. Both are in nanoseconds.
 	syncSpread   = 1e9
 	syncInterval = 8e9
-	// epochUnit is the unit of an epoch in nanoseconds. An epoch is derived from the time at which
-	// the process starts.
+	// epochUnit is the unit of an epoch in nanoseconds. An epoch is the low byte of the time at which
+	// a process started, in this unit. By a new epoch, the others notice that a ledger server has
+	// restarted and lost its counts.
 	epochUnit = 1e8
 )
 
-// maintainLedger announces once that this balancer is a ledger server, if it is one. It sends the
-// current ledger server all connections of this balancer when that is due, and polls an earlier
-// ledger server that may be available again. Without a usable ledger it sends nothing and uses no
+// maintainLedger does the periodic tasks of the ledger. It sets the epoch at the first call, and
+// announces this balancer then if it is a ledger server. It sends the current ledger server all
+// connections of this balancer when that is due, and polls an earlier ledger server that may be
+// available again. If this balancer may not use a ledger, maintainLedger does nothing and uses no
 // random number.
 func (b *Balancer) maintainLedger() {
 	if !b.ledgerUsable() {
@@ -38,7 +42,8 @@
 	}
 }
 
-// ledgerMessageReceived handles a message of the placement ledger, and reports whether data is one.
+// ledgerMessageReceived handles a message of the placement ledger from the balancer with number
+// from, and reports whether data is such a message.
 func (b *Balancer) ledgerMessageReceived(from int, data []byte) bool {
 	message, err := ledger.Decode(data)
 	if err != nil {
@@ -86,8 +91,8 @@
 }
 
 // followLedgerServer records a message from a ledger server. If that server does not know the
-// connections of this balancer, it is sent them after a random wait, since all balancers receive
-// its message at the same time.
+// connections of this balancer, they are sent after a random wait of up to syncSpread: all balancers
+// receive the server's message at the same time and must not answer at the same time.
 func (b *Balancer) followLedgerServer(from int, epoch byte) {
 	if b.ledgerUsable() && b.ledger.client.ServerMessageReceived(from, epoch) {
 		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
@@ -95,7 +100,8 @@
 	}
 }
 
-// syncLedger sends the ledger server all connections of this balancer, and schedules the next time.
+// syncLedger sends the ledger server entries for all connections of this balancer that belong to a
+// group, and sets the time of the next synchronization. It sends nothing while queries are paused.
 func (b *Balancer) syncLedger() {
 	server := b.ledger.client.Server(b.now)
 	b.ledger.syncDue = b.now + Time(syncInterval*(0.5+b.rng.Float64()))
@@ -114,8 +120,9 @@
 	}
 }
 
-// appendConnections appends entries for this balancer's connections at a host, one group after the
-// other in the order of their first connections.
+// appendConnections appends entries for this balancer's connections at a host that belong to a
+// group. The groups are in the order of their first connections. A group with more than
+// ledger.MaxUnits gets several entries.
 func (b *Balancer) appendConnections(entries ledger.Entries, h *host) ledger.Entries {
 	var groups []uint32
 	units := map[uint32]int{}
@@ -138,8 +145,9 @@
 	return entries
 }
 
-// reportPlacement reports to the ledger server that a host holds one connection more if sign is 1,
-// or one less if sign is -1.
+// reportPlacement reports to the ledger server that a host holds the connection of r if sign is 1,
+// or holds it no longer if sign is -1. It has no effect if r has no group, if queries are paused, or
+// if this balancer may not use a ledger.
 func (b *Balancer) reportPlacement(h *host, r *request, sign int) {
 	server := b.ledger.client.Server(b.now)
 	if r.Group == "" || server < 0 || !b.ledgerUsable() {
@@ -154,8 +162,8 @@
 	b.effects.SendToPeer(server, entry.Append(nil))
 }
 
-// sendToLedgerServer sends a message to the ledger server, or handles it directly if this balancer
-// is that server.
+// sendToLedgerServer sends a message to the ledger server with the given balancer number, or handles
+// the message directly if this balancer is that server.
 func (b *Balancer) sendToLedgerServer(server int, m ledger.Message) {
 	if server == b.cfg.Instance {
 		b.handleLedgerMessage(server, m)
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -8,17 +8,18 @@
 	// in nanoseconds.
 	healthCheckScanInterval = 2.5e8
 	minHealthCheckInterval  = 5e8
-	// healthCheckBudget is the largest cost of health checks, as a fraction of the value of the
-	// requests.
+	// healthCheckBudget is the largest cost of health checks per request, in the unit of
+	// Prices.HealthCheck, where a request has the value 1.
 	healthCheckBudget = 0.005
 	// minHealthCheckRequestRate is the lowest rate of requests, per second, by which the interval
 	// of health checks is computed.
 	minHealthCheckRequestRate = 0.2
-	// quotaCapacityShare is the sum of the tenants' quotas as a fraction of the fleet's capacity.
+	// quotaCapacityShare is the sum of the tenants' connection quotas as a fraction of the
+	// connections that all hosts together can hold.
 	quotaCapacityShare = 0.8
-	// Connections are migrated off a host whose load is at least migrateAboveLoad, to reduce it to
-	// migrateToLoad. None are if the mean load of the fleet is above migrateMaxMeanLoad, since then
-	// no host has spare capacity.
+	// Connections are migrated off a host whose load is at least migrateAboveLoad, to reduce its load
+	// to migrateToLoad. No connections are migrated if the mean load of all hosts is above
+	// migrateMaxMeanLoad, since then no host has spare capacity. 1 is a full host.
 	migrateAboveLoad   = 0.98
 	migrateToLoad      = 0.8
 	migrateMaxMeanLoad = 0.8
@@ -30,21 +31,22 @@
 // healthCheckState is the state of the health checks of one host.
 type healthCheckState struct {
 	inFlight  bool
-	startedAt Time // start of the last check, less a random time that spreads the next one
+	startedAt Time // start of the last check, minus a random time that spreads the next check
 }
 
-// fleetLoad is the load of the hosts that report it.
+// fleetLoad is what load reports and quotas tell about all hosts together.
 type fleetLoad struct {
-	full float64 // mean connections, of all balancers together, that fill a host; 0 if unknown
-	mean float64 // mean reported load; 1 is full
+	full float64 // number of mean connections, of all balancers together, that fill a host; 0 if unknown
+	mean float64 // mean reported load of the hosts; 1 is full, 0 also if unknown
 }
 
 // hostsReportLoad reports whether health checks are allowed and hosts answer them with their load.
 func (b *Balancer) hostsReportLoad() bool { return b.cfg.MayHealthCheck && b.cfg.LoadField >= 0 }
 
-// startHealthChecks starts a health check of each ready host that is not ejected and whose last
-// check began at least healthCheckInterval ago, or minHealthCheckInterval if it has never reported
-// its load.
+// startHealthChecks starts a health check of each ready host that is not ejected, has no check in
+// flight, and is due: its last check began at least healthCheckInterval ago, or at least
+// minHealthCheckInterval ago if the host has never reported its load. startHealthChecks schedules
+// its next call and updates fleetLoad.
 func (b *Balancer) startHealthChecks() {
 	b.schedule(healthCheckScanInterval, timerHealthCheck)
 	b.updateFleetLoad()
@@ -64,8 +66,8 @@
 	}
 }
 
-// healthCheckInterval returns the time between two checks of one host that the price of a check
-// justifies: the more requests there are to place by its result, the shorter.
+// healthCheckInterval returns the shortest time between two checks of one host at which the checks
+// of all hosts cost at most healthCheckBudget per request. It is at least minHealthCheckInterval.
 func (b *Balancer) healthCheckInterval() Time {
 	t := &b.traffic
 	t.fade(b.now)
@@ -74,8 +76,9 @@
 	return max(minHealthCheckInterval, Time(1e9*price/(healthCheckBudget*rate)))
 }
 
-// HealthCheckEnded records the result of a health check. A failed check tells nothing about the
-// host's load, and the earlier reports lose weight with time.
+// HealthCheckEnded records the result of a health check of the host with the given ID. load is the
+// host's load report, with the load at Config.LoadField. It is ignored unless status is OK: a failed
+// check tells nothing about the host's load, and the earlier reports lose weight with time.
 func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, load []float64) {
 	b.beginEvent(now)
 	if h := b.byID[id]; h != nil {
@@ -86,7 +89,8 @@
 	}
 }
 
-// loadReported records a load report. It ignores a report without the load field.
+// loadReported records a load report, and may migrate connections off a full host. It ignores a
+// report without the load field.
 func (b *Balancer) loadReported(h *host, report []float64) {
 	loadField, queueField := b.cfg.LoadField, b.cfg.QueueField
 	if loadField < 0 || loadField >= len(report) {
@@ -100,9 +104,10 @@
 	b.migrateFromFullHost(h)
 }
 
-// addUnreportedLoad records load, in mean connections, that no report of the host includes yet. The
-// other balancers place requests by the same reports, each between none and as many as this one, so
-// that the load is multiplied by the square root of the number of balancers.
+// addUnreportedLoad records load that no report of the host includes yet. turns is the load in mean
+// connections, negative if a connection has ended. The other balancers place requests by the same
+// reports, but it is unknown how many: each places between none and as many as this one. The load is
+// therefore multiplied by the square root of the number of balancers.
 func (b *Balancer) addUnreportedLoad(h *host, turns float64) {
 	h.loadEstimate.AddLoad(b.now, turns*math.Sqrt(float64(b.cfg.Instances)))
 }
@@ -112,10 +117,11 @@
 	return h.loadEstimate.Load(b.now, b.fleetLoad.full, b.fleetLoad.mean)
 }
 
-// updateFleetLoad updates the mean load of the fleet, and the number of mean connections that fill
-// one host. The tenants' quotas together are most of what the fleet can hold. Without quotas the
-// number follows from the sum of the loads that the hosts report: the connections of all balancers,
-// of which this one holds its share, cause that sum.
+// updateFleetLoad updates fleetLoad.mean, the mean load of the hosts, and fleetLoad.full, the number
+// of mean connections that fill one host. With quotas, full follows from the sum of the tenants'
+// connection quotas, which is quotaCapacityShare of what all hosts can hold. Without quotas, full
+// follows from the sum of the loads that the hosts report: the connections of all balancers cause
+// that sum, and this balancer holds 1/Instances of them.
 func (b *Balancer) updateFleetLoad() {
 	own, sum, reporting, present := 0.0, 0.0, 0.0, 0.0
 	for _, h := range b.hosts {
@@ -138,9 +144,9 @@
 	}
 }
 
-// migrateFromFullHost migrates some connections off an overloaded host if other hosts have spare
-// capacity. Each balancer migrates some of its own connections at random, since all get the same
-// report.
+// migrateFromFullHost migrates some connections off a host whose load is at least migrateAboveLoad,
+// if other hosts have spare capacity. Each balancer migrates a random part of its own connections,
+// since all balancers get the same reports.
 func (b *Balancer) migrateFromFullHost(h *host) {
 	load, mean := b.currentLoad(h), b.fleetLoad.mean
 	if load < migrateAboveLoad || mean > migrateMaxMeanLoad || mean == 0 {
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -2,36 +2,39 @@
 
 import "math"
 
-// errorStep is what one error adds to a host's error score, and successErrorFactor the fraction of
-// the score that remains after a success.
 const (
-	errorStep          = 0.5
+	// errorStep is what one error adds to a host's error score.
+	errorStep = 0.5
+	// successErrorFactor is the fraction of a host's error score that remains after a success.
 	successErrorFactor = 0.5
 )
 
-// Factors on the duration of a set-up, for estimates of later ones.
+// A set-up is the time from the start of an attempt until its connection is established. Its
+// duration, multiplied by these factors, estimates how long other set-ups take.
 const (
-	// completionFactor allows for a set-up that starts now and takes half as long again as the last
-	// one that succeeded.
+	// completionFactor multiplies the duration of a set-up that has just succeeded. The product is
+	// the expected duration of a set-up that starts now.
 	completionFactor = 1.5
-	// timeoutSampleFactor scales the duration of a set-up that timed out, which would have taken
-	// longer. Without such samples, timeouts would never grow to the duration of set-ups.
+	// timeoutSampleFactor multiplies the duration of a set-up that timed out, since the set-up would
+	// have taken longer. Without samples of timed-out set-ups, the timeouts of attempts would never
+	// grow to the duration that set-ups take.
 	timeoutSampleFactor = 1.5
 )
 
 // errorScore is how often a host has answered with errors recently, from 0 (never) to 1 (always). It
-// fades with the duration of the first ejection as time constant.
+// decays exponentially. The time constant is the duration of a first ejection, in nanoseconds.
 type errorScore struct {
-	score     float64
+	score     float64 // as of updatedAt
 	updatedAt Time
 }
 
-// faded returns the score at now.
+// faded returns the score at now, after exponential decay since updatedAt.
 func (e *errorScore) faded(now, timeConstant Time) float64 {
+	// The added nanosecond avoids a division by zero.
 	return e.score * math.Exp(-float64(now-e.updatedAt)/float64(timeConstant+1))
 }
 
-// currentErrorScore returns the error score of a host at the time of the current event.
+// currentErrorScore returns the error score of a host at the time of the current event, 0 to 1.
 func (b *Balancer) currentErrorScore(h *host) float64 {
 	if h.errors.score == 0 {
 		return 0
@@ -39,8 +42,9 @@
 	return h.errors.faded(b.now, b.ejection.initial)
 }
 
-// AttemptEstablished records that an attempt, counted from 0, has set up its connection in elapsed
-// nanoseconds. It ignores an attempt that is not the request's newest, or that is already
+// AttemptEstablished records that an attempt has set up its connection. id is the request's ID,
+// attempt the attempt's number, from 0, and elapsed the time since the attempt began, in nanoseconds.
+// AttemptEstablished ignores an attempt that is not the request's newest, or that is already
 // established or ended.
 func (b *Balancer) AttemptEstablished(now Time, id string, attempt int, elapsed Time) {
 	b.beginEvent(now)
@@ -64,13 +68,14 @@
 	Attempt   int // of this request, counted from 0
 	Status    AttemptStatus
 	Elapsed   Time      // since the attempt began, in nanoseconds
-	Closed    bool      // the request has had its final answer
-	Load      []float64 // the host's load report; nil if none came
+	Closed    bool      // the caller has given the request its final answer
+	Load      []float64 // load report, with the load at Config.LoadField; nil if the host sent none
 }
 
-// AttemptEnded handles the end of an attempt or of its open connection. After an attempt without a
-// connection, the request is placed again, unless it is closed or the status is TooLate.
-// AttemptEnded ignores an attempt that is not the request's newest, or that has ended already.
+// AttemptEnded handles the end of an attempt or of its open connection. After an attempt that set up
+// no connection, it places the request again, or rejects it if the status is TooLate. It does
+// neither if the request has its final answer or its client has left. AttemptEnded ignores an
+// attempt that is not the request's newest, or that has ended already.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
 	b.beginEvent(now)
 	r := b.requests[result.RequestID]
@@ -95,7 +100,8 @@
 	b.place(r)
 }
 
-// recordAttemptEnd updates the state of the request, its host and the fleet's traffic.
+// recordAttemptEnd updates the state of the request, its host and the traffic estimates after the
+// end of an attempt or of its open connection.
 func (b *Balancer) recordAttemptEnd(r *request, result AttemptResult) {
 	h, wasEstablished := r.host, r.established
 	b.loadReported(h, result.Load)
@@ -104,8 +110,8 @@
 	}
 	b.connectionEnded(r)
 	r.attemptInFlight = false
-	// The count is approximate: an attempt from before the failure, or an open connection, may also
-	// end here.
+	// trials counts attempts that began while the host had consecutive failures. The count is
+	// approximate: the attempt, or open connection, that ends here may have begun before the failures.
 	if h.ejection.trials > 0 {
 		h.ejection.trials--
 	}
@@ -115,14 +121,16 @@
 	if !wasEstablished {
 		b.setupEnded(r, result.Status, result.Elapsed)
 	} else if result.Status == Reset {
-		// A host that drops open connections sheds load or has died. Without this delay it would
-		// keep its turns, and the dropped clients would come straight back to it.
+		// A host that drops open connections sheds load or has died. It is recorded as stalled, with a
+		// message delay of one shortest message latency objective, and is picked less often. Otherwise
+		// the dropped clients would come straight back to it.
 		b.recordMessageDelay(h, 1)
 	}
 }
 
-// setupEnded updates the state of the rules after an attempt that ended without a connection.
-// Cancelled and TooLate change nothing here.
+// setupEnded updates the state of ejection, retry storm detection, set-up times and error scores
+// after an attempt that ended without an established connection. OK means here that the host
+// answered and closed at once. Cancelled and TooLate have no effect.
 func (b *Balancer) setupEnded(r *request, status AttemptStatus, elapsed Time) {
 	h := r.host
 	switch status {
@@ -139,6 +147,7 @@
 		b.hostFailed(h, r.sentAt, true)
 	case Full:
 		b.retryStorm.discountAttempt()
+		// Until then, the host gets requests only if no other host is available.
 		h.fullUntil = b.now + b.retryStorm.longestObjective
 	case Error:
 		b.retryStorm.failedWithError(b.now, r.attempts)
@@ -146,8 +155,8 @@
 	}
 }
 
-// ClientLeft closes a request whose client has left, so that it gets no answer. It cancels an
-// attempt that has set up no connection yet, if Config.MayCancel is set.
+// ClientLeft closes the request with the given ID, whose client has left and gets no answer. It
+// cancels an attempt that has set up no connection yet, if Config.MayCancel is set.
 func (b *Balancer) ClientLeft(now Time, id string) {
 	b.beginEvent(now)
 	r := b.requests[id]
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -6,14 +6,16 @@
 //     is ignored.                                                         admit
 //  2. Traffic: the request is counted in the arrival rates.               traffic.arrived
 //  3. Load shedding: the request may be marked. A marked request may
-//     only be served from the budget of a warming host.                   shouldShed
+//     only be served from the budget of a warming host (slow start).      shouldShed
 //  4. A request that has used all attempts or has too little time left
 //     is rejected.                                                        place
 //  5. Idempotency: a request that may have run and must not run twice
 //     is rejected.                                                        retryForbidden
-//  6. Retry storm: the attempt is delayed in the queue.                   waitsForRetryStorm
-//  7. Placement ledger: the first attempt of a request with a group is
-//     queued until the ledger server replies or its reply times out.      queryLedger
+//  6. Retry storm: if most recent attempts fail, the attempt is delayed
+//     in the queue.                                                       waitsForRetryStorm
+//  7. Placement ledger: the ledger server, a balancer that counts the
+//     connections of all, is queried for a host. The first attempt of a
+//     request with a group is queued until the reply arrives or times out. queryLedger
 //  8. The host is the one that the ledger server has assigned, else
 //     the one that the rotation picks.                                    assignedHost, pick
 //  9. If there is a host, the attempt starts, with a timeout.             startAttempt
@@ -30,8 +32,8 @@
 //   - An attempt ends without a connection (AttemptEnded). With status TooLate the request is
 //     rejected. The end of an established connection closes its request, which is never retried.
 //   - The queue is drained (drainQueue), every queueInterval and after each endpoint list. A request
-//     is rejected there after half of the time that it had left when it was first queued since its
-//     last attempt.
+//     is rejected there if it has waited since its last attempt for half of the time that it had left
+//     when that wait began.
 //   - The ledger server replies (ledgerReplyReceived).
 //
 // "Rejected" means that rejectOrFail is called. It tells the client that a retry is harmless, or
@@ -55,8 +57,8 @@
 
 // ConnectionAdopted registers an open connection that this balancer has not placed: one that was
 // opened before this process started, was handed over by another process, or is at a host that came
-// from another pool. It ignores a connection whose host or class is unknown or whose request ID is
-// in use.
+// from another pool. id is the ID of the connection's host. ConnectionAdopted ignores a connection
+// whose host or class is unknown or whose request ID is in use.
 func (b *Balancer) ConnectionAdopted(now Time, q Request, id string) {
 	b.beginEvent(now)
 	h := b.byID[id]
@@ -85,8 +87,9 @@
 
 // place applies rules 4 to 10: it starts a request's next attempt, or queues or rejects the request.
 func (b *Balancer) place(r *request) {
-	// Two ticks are reserved, so that the answer comes within the deadline. A set-up that cannot
-	// complete in the remaining time would only lengthen the queue that all set-ups share.
+	// Two ticks (Config.Tick) are reserved, so that the answer comes within the deadline. An attempt
+	// whose connection cannot be set up in the remaining time is not made: it would only lengthen the
+	// queue that the set-ups of all connections share.
 	left := r.deadline - b.now - 2*b.cfg.Tick
 	if r.attempts >= b.cfg.MaxAttempts || left <= b.setups.QueueDelay(b.now) || b.retryForbidden(r) {
 		b.rejectOrFail(r)
@@ -132,8 +135,8 @@
 	b.effects.StartAttempt(r.ID, h.hostID, timeout)
 }
 
-// rejectOrFail gives the final answer to a request that is not served. The request stays registered
-// until its attempt has ended.
+// rejectOrFail gives the final answer to a request that is not served: a rejection if a retry by the
+// client is harmless, else a failure. The request stays registered while an attempt is in flight.
 func (b *Balancer) rejectOrFail(r *request) {
 	r.closed = true
 	b.reconcileLedger(r, nil)
@@ -147,9 +150,9 @@
 	}
 }
 
-// retryAfter returns the Retry-After of a rejected request in nanoseconds, with jitter so that
-// clients do not all come back together. It returns 0 if the client may retry at any time, or if
-// clients do not read Retry-After.
+// retryAfter returns the Retry-After of a rejected request in nanoseconds: a random time from a
+// quarter of Config.MaxRetryAfter up to all of it, so that clients do not all come back together. It
+// returns 0 if the client may retry at any time, or if clients do not read Retry-After.
 func (b *Balancer) retryAfter(r *request) Time {
 	if !b.cfg.SendsRetryAfter {
 		return 0
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -3,21 +3,24 @@
 // queueInterval is the time between two calls of drainQueue while requests wait, in nanoseconds.
 const queueInterval = 20e6
 
-// requestQueue holds the requests that wait for a host, since a fleet that is warming up or still
-// unknown may serve them soon; those that are delayed by a retry storm; and those that await the
-// ledger server's reply.
+// requestQueue holds the requests that wait: for a host, since hosts may soon be listed or have
+// warmed up; for the end of a delay because of a retry storm; or for the reply of the ledger server,
+// the balancer that assigns hosts for all.
 type requestQueue struct {
-	waiting  []*request
-	timerSet bool
+	waiting  []*request // in the order in which they were queued; may contain requests answered since
+	timerSet bool       // a timer will call drainQueue
 }
 
 // queueEntry is the queue state of one request.
 type queueEntry struct {
 	queued bool
-	// rejectAt is when the request is rejected, which leaves half of its time for a retry by the
-	// client. It is 0 if the request has not been queued since its last attempt.
-	rejectAt  Time
-	notBefore Time // earliest time of the next attempt; 0 if it may start at once
+	// rejectAt is when a waiting request is rejected: after half of the time that was left when it
+	// was queued. The other half remains for a retry by the client. rejectAt is 0 if the request has
+	// not been queued since its last attempt.
+	rejectAt Time
+	// notBefore is the earliest time of the next attempt: the end of a delay, or the timeout of the
+	// ledger server's reply. It is 0 if the attempt may start at once.
+	notBefore Time
 }
 
 // enqueue adds a request to the queue, unless it is queued already. A request that is queued again
@@ -36,8 +39,8 @@
 	}
 }
 
-// drainQueue rejects the requests that have waited too long and places those whose delay is over.
-// Requests that have to wait longer are queued again in the same order.
+// drainQueue rejects the requests that have reached rejectAt, and places those that have reached
+// notBefore. The others are queued again in the same order.
 func (b *Balancer) drainQueue() {
 	if len(b.queue.waiting) == 0 {
 		return
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -6,12 +6,12 @@
 	Class        int     `json:"Class"`    // index in Config.Classes
 	Tenant       int     `json:"Tenant"`   // index in Config.Tenants; -1 if none
 	Key          string  `json:"Key"`      // idempotency key; "" if none
-	Group        string  `json:"Group"`    // its connections cost less on one host; "" if none
+	Group        string  `json:"Group"`    // requests whose connections cost less together on one host; "" if none
 	ExpectedLoad float64 `json:"Hint"`     // work per second on a standard core, in nanoseconds; 0 if unknown
 	Retry        bool    `json:"Repeat"`   // its client marked it as a retry
-	MidFlow      bool    `json:"MidFlow"`  // packets of a connection that a host already holds
+	MidFlow      bool    `json:"MidFlow"`  // it consists of packets of a connection that a host already holds
 	Returned     bool    `json:"Returned"` // its client came back after a broken or migrated connection
-	Remaining    Time    `json:"Left"`     // time until the client stops waiting
+	Remaining    Time    `json:"Left"`     // time until the client stops waiting, in nanoseconds
 }
 
 // AttemptStatus is the outcome of an attempt.
@@ -69,7 +69,8 @@
 	return [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}[s]
 }
 
-// DidNotRun reports whether the outcome proves that the attempt had no effect.
+// DidNotRun reports whether the outcome proves that the host did not run the request. It returns
+// false if the request may have run.
 func (s AttemptStatus) DidNotRun() bool { return s == Full || s == ConnectFailed || s == TooLate }
 
 // Observation is the kind of a value that was observed on an open connection.
@@ -86,26 +87,26 @@
 	Request
 	deadline Time
 	cost     float64 // expected load, in the unit of Request.ExpectedLoad
-	closed   bool    // answered, or its client has left; kept until its attempt ends
+	closed   bool    // it has its final answer, or its client has left; kept until its attempt ends
 
-	attempts        int
+	attempts        int // number of attempts started
 	attemptInFlight bool
-	host            *host // of the last attempt
-	sentAt          Time  // of the last attempt
-	attemptedHosts  []*host
+	host            *host   // of the last attempt
+	sentAt          Time    // of the last attempt
+	attemptedHosts  []*host // one for each attempt
 
 	established        bool    // whether its connection is open
 	connectionIndex    int     // in host.connections
-	load               float64 // what it adds to host.load
-	migrationRequested bool
+	load               float64 // what its connection adds to host.load
+	migrationRequested bool    // Effects.Migrate was called for its connection
 
 	mayHaveRunOn *host // host of the first attempt that may have run; nil if none may have
 	mayHaveRunAt Time  // when that attempt was sent
 
 	wait                  queueEntry
 	ledger                ledgerQuery
-	shedUnlessWarmingHost bool    // load shedding rejects it unless a warming host's budget allows it
-	similarPerSecond      float64 // rate of similar requests, all balancers together
+	shedUnlessWarmingHost bool    // load shedding rejects it unless a host in slow start may take it
+	similarPerSecond      float64 // fresh requests or retries, as it is one, per second at all balancers
 }
 
 // isRetry reports whether a request may be part of a wave of clients that come back together.
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -2,32 +2,37 @@
 
 import "math"
 
+// The rotation is smooth and weighted. A turn is the cost of a mean connection: each request brings
+// as many turns as its connection is expected to cost, and they are divided over all candidates by
+// weight. A host's deficit is the turns that it is owed.
 const (
-	// tieBreakSlack is by how many turns a candidate's deficit may be below the largest one for the
-	// candidate to be picked by its load. reportedLoadSlack is the factor on it if hosts report
-	// their load: then the loads keep the balance, which is the only purpose of even turns.
-	tieBreakSlack     = 1.0
+	// tieBreakSlack is by how many turns a candidate's deficit may be below the largest deficit of
+	// all candidates for the candidate to be picked by its load.
+	tieBreakSlack = 1.0
+	// reportedLoadSlack multiplies tieBreakSlack if hosts report their load. The reported loads then
+	// keep the balance, so that turns need not be even.
 	reportedLoadSlack = 24.0
-	// crossZoneBias is how strongly Prices.CrossZone takes turns from hosts in other zones: these
-	// keep 1 / (1 + crossZoneBias * price) of their turns.
+	// crossZoneBias is how strongly Prices.CrossZone reduces the turns of hosts in other zones: these
+	// hosts keep 1 / (1 + crossZoneBias * price) of their turns.
 	crossZoneBias = 100.0
-	// minHealth is the fraction of its turns that a failing or loaded host keeps. Without any
-	// turns, nothing would show that it has recovered.
+	// minHealth is the smallest factor by which failures and message delays, or reported load, reduce
+	// the weight of a host. A host without any turns could not show that it has recovered.
 	minHealth = 0.02
 	// noTurnsLoad is the reported load at which a host gets almost no turns; 1 is full. It is above
-	// 1, so that the weights of full hosts still differ by load.
+	// 1, so that the weights of hosts that are nearly full still differ by load.
 	noTurnsLoad = 1.1
-	// zoneSets is the number of sets into which zones are divided if traffic is sparse. In each
-	// set, a group has hosts of its own.
+	// zoneSets is the number of sets into which zones are divided, by index, if traffic is sparse
+	// (less than one connection per host at each balancer). In each set, a group of connections has
+	// hosts of its own.
 	zoneSets = 2
 )
 
 // pick holds the parameters of the choice of a host for one request.
 type pick struct {
 	request      *request
-	turns        float64  // of the request's connection
-	preferredAge ageGroup // age group of the hosts that may be picked
-	fallback     bool     // hosts that are not available may be picked
+	turns        float64  // cost of the request's connection relative to that of a mean connection
+	preferredAge ageGroup // only hosts of this age (newer or older) may be picked; anyAge means all
+	fallback     bool     // hosts that are not available may be picked as well
 	sparse       bool     // result of sparseTraffic
 }
 
@@ -39,16 +44,16 @@
 	wonLottery bool    // a warming host whose budget allows this request by lottery only
 }
 
-// reportedLoad holds the values of a host that follow from load reports. It is zero if hosts do not
+// reportedLoad holds the values of a host that follow from load reports. Both are 0 if hosts do not
 // report their load.
 type reportedLoad struct {
 	load                float64 // 1 is full
-	groupHomedElsewhere float64 // 1 if the host comes after the home of the request's group, else 0
+	groupHomedElsewhere float64 // 1 if the host comes after the home of the group (markGroupHomes), else 0
 }
 
-// pick chooses a host by smooth weighted rotation over the available hosts, first over those of the
-// preferred age group. If no host is available, it chooses from all that may take the request. It
-// returns nil if there is none.
+// pick chooses a host for a request by smooth weighted rotation over the available hosts: first over
+// those of the preferred age group, then over all. If no host is available, it chooses from all
+// hosts that may take the request. It returns nil if there is none.
 func (b *Balancer) pick(r *request) *host {
 	p := pick{request: r, turns: b.costs.turns(r.cost), preferredAge: b.preferredAgeGroup(r)}
 	if p.preferredAge != anyAge {
@@ -83,9 +88,9 @@
 		c := &candidates[i]
 		h := c.host
 		if b.fullCapacityShare(h) < 1 {
-			// The budget of a warming host decides when its turn comes. By their deficits, all new
-			// hosts would have the same place at every balancer and wait for half a round in each
-			// of many sparse rotations.
+			// The slow start budget of a warming host decides when it is picked, not its deficit. By
+			// their deficits, all new hosts would have the same place in the rotation of every
+			// balancer, and at balancers with little traffic half of the hosts would come first.
 			h.deficit = maxDeficit
 		}
 		slack, capacity := b.tieBreakParams(p, c, maxWeight)
@@ -103,8 +108,8 @@
 	return best
 }
 
-// candidates returns the hosts that may be picked, in the order of the rotation, the sum of their
-// weights and the largest weight.
+// candidates returns the hosts that may be picked, in the order of their IDs, the sum of their
+// weights and the largest weight. The slice is valid until the next call.
 func (b *Balancer) candidates(p *pick) (eligible []candidate, total, maxWeight float64) {
 	reported := b.hostsReportLoad()
 	if reported {
@@ -143,10 +148,10 @@
 	}
 }
 
-// mayPlaceOn reports whether a host may take the request, and whether a warming host may by lottery
-// only. It checks the preferred age group and the rules that hold in a fallback as well: the host
-// must be ready, it must discard repeats if necessary, and the budget of a warming host must allow
-// the request.
+// mayPlaceOn reports whether a host may take the request, and whether a warming host may take it only
+// because the request won the lottery for the host's unused budget (winsLottery). It checks the
+// preferred age group and the rules that hold in a fallback as well: the host must be ready, it must
+// discard repeats if necessary, and the slow start budget of a warming host must allow the request.
 func (b *Balancer) mayPlaceOn(h *host, p *pick) (allowed, byLottery bool) {
 	if h.state != Ready || p.preferredAge != anyAge && b.excludedByAge(h, p.preferredAge) ||
 		b.outsideDedupScope(h, p.request) {
@@ -160,7 +165,8 @@
 
 // turnWeight returns a host's share of the turns, relative to those of other hosts. It is the
 // weight from the endpoint list, reduced for a host in another zone if crossing has a price, for a
-// warming host, for a loaded host, and for a host that fails or delays messages.
+// warming host, for a loaded host, and for a host that fails or delays messages. load is the host's
+// reported load; it is ignored if hosts do not report their load.
 func (b *Balancer) turnWeight(h *host, load float64) float64 {
 	w := h.weight
 	if h.zone != b.ownZone {
@@ -180,8 +186,9 @@
 	return w * max(minHealth, health)
 }
 
-// tieBreakParams returns by how many turns a candidate's deficit may be below the largest one, and
-// the capacity by which the candidate's load is divided.
+// tieBreakParams returns the slack, by how many turns a candidate's deficit may be below the largest
+// deficit, and the capacity by which the candidate's load is divided. maxWeight is the largest weight
+// of all candidates.
 func (b *Balancer) tieBreakParams(p *pick, c *candidate, maxWeight float64) (slack, capacity float64) {
 	slack, capacity = tieBreakSlack*c.weight/maxWeight, c.weight
 	if p.sparse && c.host.zone%zoneSets == b.ownZone%zoneSets {
@@ -193,9 +200,9 @@
 	return slack, capacity
 }
 
-// tieBreakLoad returns the load by which candidates within the slack are ordered, least first. The
-// load of the request itself does not change the order: otherwise all balancers would begin with
-// the same large hosts.
+// tieBreakLoad returns the load by which candidates within the slack are ordered, least first. It
+// includes the cost of the request's group at the host. The load of the request itself is left out,
+// or adds the same to all candidates: otherwise all balancers would begin with the same large hosts.
 func (b *Balancer) tieBreakLoad(p *pick, c *candidate, capacity float64) float64 {
 	groupCost := b.groupPlacementCost(p, c)
 	load := (c.host.load + groupCost) / capacity
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -2,23 +2,27 @@
 
 import "math"
 
+// The stalled share is the fraction of the load of open connections that is on stalled hosts, where
+// messages take too long. The shed share is the fraction of the demand, the load of new requests,
+// that is rejected.
 const (
-	// maxStalledShare is the fraction of the open load that may be on stalled hosts before new work
-	// is shed.
+	// maxStalledShare is the stalled share above which new requests are shed.
 	maxStalledShare = 0.1
-	// maxShedShare is the largest fraction of the demand that is shed.
+	// maxShedShare is the largest shed share.
 	maxShedShare = 0.9
-	// shedGrowthRate is by how much the shed share grows per second, for each unit of the stalled
-	// share above maxStalledShare. shedRelease is by how much it shrinks per second while the
-	// stalled share is lower. shedDecay is the fraction of it that is lost per second in addition
-	// while no host is stalled, since shedding that the pause of one host has started must not
-	// leave the others idle.
+	// shedGrowthRate is the growth of the shed share per second, for each unit by which the stalled
+	// share is above maxStalledShare.
 	shedGrowthRate = 1.0
-	shedRelease    = 0.05
-	shedDecay      = 0.5
+	// shedRelease is by how much the shed share shrinks per second while the stalled share is not
+	// above maxStalledShare.
+	shedRelease = 0.05
+	// shedDecay is the fraction of the shed share that is lost per second in addition while no host
+	// is stalled. Up to maxStalledShare the loss falls to 0. Shedding that the pause of one host has
+	// started must not leave the other hosts idle.
+	shedDecay = 0.5
 	// assumedConnections is how many mean connections, spread over all ready hosts, are added to
 	// those of this balancer. Without them, one connection on a stalled host would count as an
-	// overload of the fleet.
+	// overload of all hosts.
 	assumedConnections = 4.0
 	// demandTimeConstant is the time constant with which demand decays, in seconds.
 	demandTimeConstant = 10
@@ -27,13 +31,14 @@
 // loadShedding rejects a fraction of the demand while hosts are stalled, since hosts with more work
 // than they can do answer no client.
 type loadShedding struct {
-	// share is the fraction of the demand that is shed, lowest priority weight per work first.
+	// share is the shed share, 0 to maxShedShare. Requests with the lowest priority weight per work
+	// are shed first.
 	share float64
-	// crossZoneShare is how much of the turns that Prices.CrossZone takes from other zones is given
-	// back to them, 0 to 1.
+	// crossZoneShare is the fraction, 0 to 1, by which the reduction of turns of hosts in other zones
+	// (Prices.CrossZone) is undone.
 	crossZoneShare    float64
-	demandByClass     []float64 // requested load, with exponential decay
-	tenantConnections []int     // open connections by tenant
+	demandByClass     []float64 // load of new requests by Request.Class, with exponential decay
+	tenantConnections []int     // number of open connections by Request.Tenant
 }
 
 // zoneLoad is the open load of one or more zones, and the part of it that is on stalled hosts, in
@@ -43,11 +48,11 @@
 // stalledShare returns the fraction of the open load that is on stalled hosts.
 func (z zoneLoad) stalledShare() float64 { return z.stalled / max(1, z.open) }
 
-// update adjusts the shares to the loads of the own zone and of the other zones, dt seconds after
-// the last update.
+// update adjusts share and crossZoneShare to the loads of the balancer's own zone and of the other
+// zones, and applies the decay of the demand. dt is the time since the last update, in seconds.
 func (s *loadShedding) update(own, other zoneLoad, dt float64) {
-	// The own zone has more clients than its hosts can serve: turns go to other zones while these
-	// are stalled less.
+	// While the own zone is stalled more than the other zones, it has more clients than its hosts can
+	// serve. More requests then go to the other zones.
 	if d := own.stalledShare() - other.stalledShare(); d > maxStalledShare {
 		s.crossZoneShare = min(1, s.crossZoneShare+shedGrowthRate*d*dt)
 	} else {
@@ -67,8 +72,8 @@
 	}
 }
 
-// updateShedding measures the open load for load shedding. readyWeight is the weight of all ready
-// hosts.
+// updateShedding measures the load of open connections by zone and updates load shedding.
+// readyWeight is the sum of the weights of all ready hosts.
 func (b *Balancer) updateShedding(readyWeight float64) {
 	var own, other zoneLoad
 	for _, h := range b.hosts {
@@ -88,14 +93,15 @@
 	b.shedding.update(own, other, float64(b.updateInterval())/1e9)
 }
 
-// shouldShed reports whether load shedding rejects a request, unless the budget of a warming host
-// allows it. It uses the random number generator only while load is shed.
+// shouldShed reports whether load shedding rejects a request that no host in slow start may take. It
+// uses the random number generator only while load is shed.
 func (b *Balancer) shouldShed(r *request) bool {
 	return b.shedding.share > 0 && b.priorityRank(r) < b.shedding.share
 }
 
 // priorityRank returns a request's position, 0 to 1, in the demand ordered by priority weight per
-// work, lowest first. The position is random among demand of the same priority.
+// work, lowest first. The position is random among demand of the same priority, within 1%. A request
+// of a tenant beyond its connection quota has its weight reduced by Config.OverQuotaWeight.
 func (b *Balancer) priorityRank(r *request) float64 {
 	density := b.priorityDensity(r.Class)
 	if r.Tenant >= 0 {
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -6,26 +6,33 @@
 	"croftlock/internal/balancer/rendezvous"
 )
 
-// slowStartShareFactor is how many times its share by present capacity a warming host may get. A
-// host at full load serves about 2.5 times what an average host gets.
+// A warming host is one in slow start: its capacity grows with the time since its start, and it
+// fails if it is sent too many connections. Each balancer has a budget for the host, a token bucket.
+// Budget that balancers without requests cannot use is given to the requests of others by lottery.
+
+// slowStartShareFactor multiplies the share of all connections that a warming host gets by its
+// present capacity. A host at full load serves about 2.5 times what an average host gets.
 const slowStartShareFactor = 2.5
 
-// Fractions of a warming host's budget that are given out by lottery. They are below 1 because the
-// number of winners varies.
+// Fractions of a warming host's unused budget that are given out by lottery. They are below 1
+// because the number of winners varies.
 const (
-	lotteryFreshShare      = 0.85 // to fresh requests
-	lotteryRetryShare      = 0.5  // to retries, which come together
-	lotteryOtherZoneFactor = 0.75 // factor for hosts in other zones; 2 minus this in the own zone
+	lotteryFreshShare = 0.85 // to fresh requests, those that are no retries
+	lotteryRetryShare = 0.5  // to retries, many of which come at the same time
+	// lotteryOtherZoneFactor multiplies the fraction for hosts in other zones. 2 minus it does so for
+	// hosts in the balancer's own zone. There are no factors if there is only one zone.
+	lotteryOtherZoneFactor = 0.75
 )
 
 // slowStartBudget is the token bucket of a warming host at one balancer.
 type slowStartBudget struct {
-	tokens   float64 // mean connections
+	tokens   float64 // in mean connections
 	filledAt Time    // when tokens were last added
 }
 
-// fullCapacityShare returns the fraction of its capacity, 0 to 1, that a host is certain to have by
-// now. It returns 1 if the host is not warming.
+// fullCapacityShare returns the fraction of its full capacity, 0 to 1, that a host is certain to have
+// now. The fraction grows linearly from Config.SlowStartFloor to 1 within Config.SlowStartDuration of
+// the host's start. It is below 1 only if the host is warming.
 func (b *Balancer) fullCapacityShare(h *host) float64 {
 	duration := b.cfg.SlowStartDuration
 	if h.startedAt == 0 || duration <= 0 || b.now >= h.startedAt+duration {
@@ -35,14 +42,16 @@
 	return b.cfg.SlowStartFloor + (1-b.cfg.SlowStartFloor)*age
 }
 
-// slowStartShare returns the fraction of all fresh connections that a warming host may get.
+// slowStartShare returns the fraction of all fresh connections of all balancers, above 1 if it may
+// take more than these, that a warming host may get.
 func (b *Balancer) slowStartShare(h *host) float64 {
 	return slowStartShareFactor * b.cfg.SlowStartOverloadFactor * b.fullCapacityShare(h) * h.weight /
 		max(b.traffic.fleetWeight, h.weight)
 }
 
 // slowStartRate returns how many mean connections per second this balancer may place at a warming
-// host. Each balancer keeps to its own part of the host's budget, so that all together keep to it.
+// host. Each balancer keeps to its own part of what the host may get, so that all balancers together
+// do not exceed it.
 func (b *Balancer) slowStartRate(h *host) float64 {
 	t := &b.traffic
 	t.fade(b.now)
@@ -54,19 +63,20 @@
 	return b.slowStartShare(h) * rate
 }
 
-// slowStartStagger returns the tokens, 0 to 1, with which a host's budget starts. They differ
-// between balancers: with the same tokens, all would send their first connection at the same
-// moment.
+// slowStartStagger returns the number of tokens, 0 to 1, with which a host's budget starts. It
+// differs between balancers: with the same number, all of them would send their first connection at
+// the same moment.
 func (b *Balancer) slowStartStagger(h *host) float64 {
 	_, fill := math.Modf(float64(h.hash%1024)/1024 + float64(b.cfg.Instance)/float64(b.cfg.Instances))
 	return fill
 }
 
-// slowStartAllows reports whether a warming host's budget allows a connection of the given turns
-// now, and whether it does so by lottery only. It adds the host's tokens up to now. Tokens that are
-// not used within the overload window are lost: otherwise many balancers with little traffic would
-// save theirs, and a wave would spend them all at once. The lost tokens are given out by lottery
-// instead.
+// slowStartAllows reports whether a warming host's budget allows the connection of r now, and whether
+// it does so only because r won the lottery. turns is the connection's cost in mean connections.
+// slowStartAllows adds the host's tokens up to now, and spends none. Tokens that are not used within
+// Config.SlowStartOverloadWindow are lost: otherwise many balancers with little traffic would save
+// theirs, and a wave of retries would spend them all at once. The lost tokens are given out by
+// lottery instead.
 func (b *Balancer) slowStartAllows(h *host, r *request, turns float64) (allowed, byLottery bool) {
 	if r.ledger.replied && r.attempts == 0 {
 		return false, false // the ledger server has already considered the budget that is left
@@ -89,8 +99,9 @@
 	return won, won
 }
 
-// spendSlowStartTokens subtracts the turns of an attempt from a warming host's budget. An attempt
-// that was allowed by lottery costs no tokens.
+// spendSlowStartTokens subtracts the turns of an attempt, in mean connections, from a warming host's
+// budget. If the bucket holds less than one token, the attempt was allowed by lottery or by the
+// ledger server and costs no tokens. spendSlowStartTokens has no effect on other hosts.
 func (b *Balancer) spendSlowStartTokens(h *host, turns float64) {
 	if b.fullCapacityShare(h) < 1 && h.slowStart.tokens >= 1 {
 		h.slowStart.tokens -= turns
@@ -99,9 +110,9 @@
 
 // winsLottery reports whether a request is placed at a warming host by chance. The chance is such
 // that the requests of all balancers together use the part of the host's budget that is lost at
-// balancers without requests. With one request per half a minute at each of many balancers, that is
-// nearly all of it. A hash of request and host decides, so that a second call does not give the
-// request a second chance.
+// balancers without requests. If each of many balancers gets one request per half a minute, nearly
+// all of the budget is lost. A hash of request and host decides, so that a second call does not give
+// the request a second chance.
 func (b *Balancer) winsLottery(h *host, r *request) bool {
 	if r.similarPerSecond <= 0 {
 		return false
@@ -128,8 +139,9 @@
 }
 
 // lotteryShare returns the fraction of a warming host's lost budget that requests like r may use.
-// ok is false if r may not use any. Half of a zone's warming hosts accept a group, since each of
-// them bears the cost of the group and has little capacity yet.
+// ok is false if r may not use any. A group (connections that Request.Group names) is accepted only
+// by the half of a zone's warming hosts that comes first in its rendezvous order: each host that
+// accepts it bears the cost of the group and has little capacity yet.
 func (b *Balancer) lotteryShare(h *host, r *request) (share float64, ok bool) {
 	share = lotteryFreshShare
 	if r.isRetry() {
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Bounds of the values that Restore accepts, so that a corrupt file cannot upset the decisions.
+// Bounds of the values that Restore accepts, so that a corrupt snapshot cannot upset the decisions:
+// of rates, costs, scores and delays, and of slow start tokens.
 const (
 	maxRestoredValue  = 1e15
 	maxRestoredTokens = 1e6
@@ -25,20 +26,20 @@
 	ID       string  `json:"ID"`
 	Since    Time    `json:"Since"`    // its latest start
 	Fails    int     `json:"Fails"`    // consecutiveFailures of its ejection
-	Until    Time    `json:"Until"`    // end of its ejection
+	Until    Time    `json:"Until"`    // end of its ejection; 0 if it is not ejected
 	FailedAt Time    `json:"FailedAt"` // time of the last counted failure
-	Ill      float64 `json:"Ill"`      // error score as of IllAt
-	Delay    float64 `json:"Delay"`    // message delay as of DelayAt
+	Ill      float64 `json:"Ill"`      // error score as of IllAt, 0 (no errors) to 1
+	Delay    float64 `json:"Delay"`    // message delay as of DelayAt, in shortest message latency objectives
 	IllAt    Time    `json:"IllAt"`
 	DelayAt  Time    `json:"DelayAt"`
-	Tokens   float64 `json:"Tokens"` // of its slow start budget
+	Tokens   float64 `json:"Tokens"` // slow start budget as of TokensAt, in mean connections
 	TokensAt Time    `json:"TokensAt"`
-	Passed   Time    `json:"Passed"` // host.fullUntil
+	Passed   Time    `json:"Passed"` // until when the host counts as full (host.fullUntil)
 }
 
-// Snapshot returns the current state. If yieldBudgets is true, what is left of the slow start
-// budgets passes to the snapshot, and this balancer keeps none: the two processes of a hot restart
-// are one balancer with one budget.
+// Snapshot returns the current state. If yieldBudgets is true, what is left of the hosts' slow start
+// budgets passes to the process that restores the snapshot, and this balancer places no more
+// connections by them: the two processes of a hot restart are one balancer with one budget.
 func (b *Balancer) Snapshot(yieldBudgets bool) Snapshot {
 	t := &b.traffic
 	s := Snapshot{Started: t.observedSince, RateAt: t.fadedAt, Rate: t.endRate, Fresh: t.freshRequests,
