--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -1,42 +1,43 @@
 package ledger
 
+// A ledger server is a balancer that counts the connections of all balancers and assigns hosts.
 const (
-	maxServers        = 8    // number of ledger servers, of which one is queried at a time
-	maxMisses         = 2    // consecutive queries without a reply before the next ledger server is queried
+	maxServers        = 8    // largest number of ledger servers, of which one is queried at a time
+	maxMisses         = 2    // consecutive queries without a reply after which the next server is queried
 	maxPending        = 256  // largest number of pending queries
 	initialPause      = 3e9  // first pause without queries after no ledger server replied, in nanoseconds
-	maxPauseDoublings = 4    // doublings of the pause: if no messages arrive, hardly any request waits
-	pollInterval      = 2e9  // how often an earlier ledger server is polled, in nanoseconds
+	maxPauseDoublings = 4    // most doublings of the pause; during a pause no request waits for a reply
+	pollInterval      = 2e9  // shortest time between two polls by ServerToPoll, in nanoseconds
 	pendingTimeout    = 10e9 // age from which a pending query may be evicted, in nanoseconds
 )
 
 // PendingQuery is a query that has no reply yet.
 type PendingQuery struct {
-	Request   string // its ID
+	Request   string // ID of the request that waits for the reply
 	Group     uint32 // as in the Query
 	Units     int    // as in the Query
 	SentAt    Time
-	Abandoned bool // its request no longer waits for the reply
+	Abandoned bool // the request no longer waits for the reply
 }
 
 // Client is the querying side of the ledger: it chooses the ledger server to query and holds the
 // pending queries. All balancers have the ledger servers in the same order, and query the first one
 // that replies.
 type Client struct {
-	servers     []int  // balancers that are ledger servers, in order
-	current     int    // index in servers of the one that is queried
-	misses      int    // consecutive
-	pausedUntil Time   // time before which there are no queries
-	pauses      int    // consecutive
-	polledAt    Time   // when ServerToPoll last returned a server
-	reachable   bool   // whether the current one has sent a message since it became current
-	epoch       byte   // epoch of the current one
-	sequence    uint16 // of the newest query
-	pending     map[uint16]*PendingQuery
+	servers     []int                    // numbers of the balancers that are ledger servers, in the order of preference
+	current     int                      // index in servers of the current server, the one that is queried
+	misses      int                      // consecutive queries of the current server without a reply
+	pausedUntil Time                     // time before which there are no queries
+	pauses      int                      // consecutive pauses
+	polledAt    Time                     // when ServerToPoll last returned a server
+	reachable   bool                     // whether the current server has sent a message since it became current
+	epoch       byte                     // in the last message of the current server; another value after its restart
+	sequence    uint16                   // sequence number of the newest query
+	pending     map[uint16]*PendingQuery // by sequence number
 }
 
-// NewClient returns the client of one of the given number of balancers. The ledger servers are
-// spread over the balancers' numbers, since neighbouring numbers may belong to one zone.
+// NewClient returns the client of one of the given number of balancers, at least 1. The ledger
+// servers are spread over the balancers' numbers, since neighbouring numbers may belong to one zone.
 func NewClient(balancers int) *Client {
 	c := &Client{pending: map[uint16]*PendingQuery{}}
 	n := min(balancers, maxServers)
@@ -59,7 +60,8 @@
 	return -1
 }
 
-// Server returns the balancer to query now, or -1 during a pause.
+// Server returns the number of the balancer to query now, or -1 during a pause, which begins when no
+// ledger server replies.
 func (c *Client) Server(now Time) int {
 	if now < c.pausedUntil {
 		return -1
@@ -68,11 +70,12 @@
 }
 
 // ServerReachable reports whether the current ledger server has sent a message since it became the
-// current one. Only then does the caller send it all connections of this balancer. Reports of
-// single changes do not wait for that.
+// current one, and no pause is in progress. Only then does the caller send it all connections of
+// this balancer. The caller reports single changes in any case.
 func (c *Client) ServerReachable(now Time) bool { return c.reachable && now >= c.pausedUntil }
 
-// Register adds a pending query, and returns its sequence number.
+// Register adds a pending query, and returns its sequence number. If there are maxPending already,
+// old ones are removed.
 func (c *Client) Register(q PendingQuery) uint16 {
 	if len(c.pending) >= maxPending {
 		c.evictPending(q.SentAt)
@@ -82,8 +85,8 @@
 	return c.sequence
 }
 
-// evictPending limits the number of pending queries: it removes those that have timed out, or all
-// if none has.
+// evictPending limits the number of pending queries: it removes those that are older than
+// pendingTimeout, or all if there are none of these.
 func (c *Client) evictPending(now Time) {
 	for sequence, p := range c.pending {
 		if now-p.SentAt > pendingTimeout {
@@ -95,8 +98,9 @@
 	}
 }
 
-// QueryTimedOut records that a request no longer waits for its reply. After maxMisses of them in a
-// row, the next ledger server is queried.
+// QueryTimedOut records that the request with the given ID no longer waits for its reply. After
+// maxMisses such requests without a message of the server between them, the next ledger server is
+// queried.
 func (c *Client) QueryTimedOut(now Time, request string) {
 	for _, p := range c.pending {
 		if p.Request == request {
@@ -131,9 +135,10 @@
 	return p
 }
 
-// ServerMessageReceived records a message from a ledger server, and reports whether the caller has
-// to send that server all connections of this balancer. It ignores servers that come after the
-// current one.
+// ServerMessageReceived records a message from the balancer with number from, and reports whether the
+// caller has to send it all connections of this balancer: it was not the current server, was not
+// known to be reachable, or has restarted. The sender becomes the current server. Messages of
+// balancers that are no ledger servers or come after the current one are ignored.
 func (c *Client) ServerMessageReceived(from int, epoch byte) (needsSync bool) {
 	i := c.index(from)
 	if i < 0 || i > c.current {
@@ -151,9 +156,10 @@
 	c.reachable = true
 }
 
-// ServerToPoll returns the ledger server to poll now, or -1 if none is due. The caller polls the
-// server that it returns, which is one before the current one, since that may be available again,
-// or the first one until it has sent a message.
+// ServerToPoll returns the number of the ledger server to poll now, or -1 if no poll is due. It
+// returns a server that comes before the current one and may be available again. If the first server
+// is the current one, ServerToPoll returns it until it has sent a message. The caller has to poll the
+// returned server, since ServerToPoll returns the next one only after pollInterval.
 func (c *Client) ServerToPoll(now Time) int {
 	if c.current == 0 && now >= c.pausedUntil && c.reachable || now-c.polledAt < pollInterval {
 		return -1
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -5,8 +5,10 @@
 	"errors"
 )
 
-// The first byte of a message is its kind. Kind 1 belongs to package stallgossip. Messages are
-// priced by the byte, so that they contain only what is needed.
+// The ledger server is the balancer that counts the connections of all balancers by host and group,
+// and assigns hosts. A group is a set of connections that cost less together. The first byte of a
+// message is its kind. Kind 1 belongs to package stallgossip. Messages are priced by the byte, so
+// that they contain only what is needed.
 const (
 	kindQuery        = 2
 	kindReply        = 3
@@ -16,6 +18,7 @@
 	kindPoll         = 7
 )
 
+// Sizes in bytes, with the kind byte, and bounds of the fields.
 const (
 	queryBytes        = 8
 	replyBytes        = 8
@@ -25,11 +28,11 @@
 
 	// MaxEntries is how many entries fit into a datagram of 256 bytes after a kind byte.
 	MaxEntries = 28
-	// MaxUnits is the largest load of a query or an entry, in units.
+	// MaxUnits is the largest load of a query or an entry, in units (see UnitsPerConnection).
 	MaxUnits = 127
 
-	maxZone  = 127
-	retryBit = 128 // in the byte that holds the zone
+	maxZone  = 127 // largest zone index that a query can contain
+	retryBit = 128 // Query.Retry, in the byte that holds the zone
 )
 
 // ErrInvalidMessage reports data that is not a message of the ledger, or not a complete one.
@@ -41,43 +44,44 @@
 	Append(data []byte) []byte
 }
 
-// Query requests a host from the ledger server.
+// Query asks the ledger server to assign a host to a request.
 type Query struct {
-	Seq   uint16
-	Zone  int    // of the querying balancer, 0 to 127
-	Retry bool   // the client may be part of a wave
+	Seq   uint16 // sequence number, repeated in the Reply
+	Zone  int    // index of the querying balancer's zone, 0 to 127
+	Retry bool   // the request is a retry and may be part of a wave of clients that come back together
 	Units int    // expected load, 1 to MaxUnits
-	Group uint32 // 24 bits
+	Group uint32 // ID of the request's group, 24 bits
 }
 
 // Reply names the host that is assigned to a query.
 type Reply struct {
-	Epoch byte // of the ledger server
-	Seq   uint16
-	Host  uint32 // 32 bits of the hash of its ID; 0 if no host is assigned
+	Epoch byte   // of the ledger server, as in Announcement
+	Seq   uint16 // of the Query
+	Host  uint32 // the lower 32 bits of the hash of its ID; 0 if no host is assigned
 }
 
-// Entry is a change of the load that its sender holds of a group at a host.
+// Entry is a change of the load of the connections that its sender holds of a group at a host.
 type Entry struct {
-	Host, Group uint32
-	Units       int // change, -MaxUnits to MaxUnits
+	Host, Group uint32 // as in Reply and Query
+	Units       int    // change of the load, -MaxUnits to MaxUnits
 }
 
-// Entries are changes of what their sender holds, from 1 to MaxEntries of them.
+// Entries are changes of the loads that their sender holds. A message has 1 to MaxEntries of them.
 type Entries []Entry
 
-// Sync reports everything that its sender holds and replaces what it reported before. Further
-// Entries may follow in separate messages.
+// Sync reports the loads of all connections that its sender holds, and replaces everything that the
+// sender reported before. Entries that do not fit may follow in separate messages. An empty Sync is
+// valid.
 type Sync struct{ Entries Entries }
 
-// Announcement reports that its sender is a ledger server. A new epoch means that the sender has
-// restarted and lost its counts.
+// Announcement reports that its sender is a ledger server. Epoch identifies the sender's process: a
+// new epoch means that the sender has restarted and lost its counts.
 type Announcement struct{ Epoch byte }
 
 // Poll requests an Announcement.
 type Poll struct{}
 
-// GroupID returns the ID of a group in messages: 24 bits of its hash.
+// GroupID returns the ID of a group in messages: bits 8 to 31 of the hash of its name.
 func GroupID(hash uint64) uint32 { return uint32(hash) &^ 0xff >> 8 }
 
 // Append implements Message.
--- a/internal/balancer/ledger/placements.go
+++ b/internal/balancer/ledger/placements.go
@@ -1,9 +1,10 @@
-// Package ledger implements the placement ledger. In a fleet in which each balancer observes only a
-// few requests, one balancer, the ledger server, counts the connections of all, and assigns hosts
-// on request. The package holds the counts (Placements), the messages by which balancers query and
-// report, and the choice of the ledger server (Client). Package balancer decides which host a
-// request gets. There is no I/O and no clock here. The counts may be late, incomplete or lost at
-// any time, and no request waits for a reply for long.
+// Package ledger implements the placement ledger. If there are many balancers, each observes only a
+// few requests. One of them, the ledger server, therefore counts the connections of all by host and
+// group, and assigns hosts on request. A group is a set of connections that cost a host less if they
+// are together on it. The package holds the counts (Placements), the messages by which balancers
+// query and report, and the choice of the ledger server (Client). Package balancer decides which
+// host a request gets. There is no I/O and no clock here. The counts may be late, incomplete or lost
+// at any time, and no request waits for a reply for long.
 package ledger
 
 import "slices"
@@ -21,21 +22,22 @@
 	maxAssignmentsPerHost = 1024
 )
 
-// hostGroup identifies a group at a host.
+// hostGroup identifies a group at a host. host is the lower 32 bits of the hash of the host's ID, and
+// group the result of GroupID, here and in all functions of this file.
 type hostGroup struct{ host, group uint32 }
 
-// hostPlacements is what all balancers hold at one host.
+// hostPlacements is the load of the connections that all balancers hold at one host.
 type hostPlacements struct {
-	units        int
-	unitsByGroup map[uint32]int
-	assignments  []Time // times of assignments, ascending
+	units        int            // of all groups
+	unitsByGroup map[uint32]int // by group; only values above 0
+	assignments  []Time         // times of assignments, ascending
 }
 
-// Placements counts what the balancers of a fleet hold at its hosts, as they reported it to the
-// ledger server.
+// Placements counts the load of the connections that all balancers hold at the hosts, as they
+// reported it to the ledger server.
 type Placements struct {
-	hosts map[uint32]*hostPlacements
-	peers map[int]map[hostGroup]int // units by the balancer that reported them
+	hosts map[uint32]*hostPlacements // by host
+	peers map[int]map[hostGroup]int  // units by the number of the balancer that reported them
 }
 
 // NewPlacements returns empty placements.
@@ -43,8 +45,9 @@
 	return &Placements{hosts: map[uint32]*hostPlacements{}, peers: map[int]map[hostGroup]int{}}
 }
 
-// placementsAt returns the placements at a host, and adds the host if it is new. If there are too
-// many hosts, it discards all placements: the balancers report all their connections periodically.
+// placementsAt returns the placements at a host, and adds the host if it is new. If there are
+// maxHosts others already, it discards all placements: the balancers report all their connections
+// periodically.
 func (p *Placements) placementsAt(host uint32) *hostPlacements {
 	h := p.hosts[host]
 	if h == nil {
@@ -58,7 +61,8 @@
 	return h
 }
 
-// unitsOf returns the units that a balancer holds, and adds the balancer if it is new.
+// unitsOf returns the units that a balancer holds by host and group, and adds the balancer if it is
+// new. The caller may change the map.
 func (p *Placements) unitsOf(peer int) map[hostGroup]int {
 	unitsOfPeer := p.peers[peer]
 	if unitsOfPeer == nil {
@@ -76,9 +80,9 @@
 	}
 }
 
-// Add adds units to what a balancer holds of a group at a host; negative units reduce it. No count
-// falls below 0, even if earlier reports were lost. A new entry of a balancer that has
-// maxEntriesPerPeer is ignored.
+// Add adds units to the load that the balancer with number peer holds of a group at a host; negative
+// units reduce it. No load falls below 0, even if earlier reports were lost. A new group at a host is
+// ignored if the balancer has maxEntriesPerPeer already.
 func (p *Placements) Add(peer int, host, group uint32, units int) {
 	unitsOfPeer := p.unitsOf(peer)
 	key := hostGroup{host, group}
@@ -94,8 +98,8 @@
 	h.add(group, units)
 }
 
-// RemovePeer removes what a balancer holds, because its process has restarted or because it reports
-// everything again.
+// RemovePeer removes all loads of a balancer, because its process has restarted or because it reports
+// all connections again.
 func (p *Placements) RemovePeer(peer int) {
 	for key, units := range p.peers[peer] {
 		p.placementsAt(key.host).add(key.group, -units)
@@ -113,7 +117,8 @@
 	return float64(h.units) / UnitsPerConnection, len(h.unitsByGroup), h.unitsByGroup[group] > 0
 }
 
-// RecordAssignment records that a request was assigned to a host.
+// RecordAssignment records that a request was assigned to a host. If there are more than
+// maxAssignmentsPerHost, the oldest half is discarded.
 func (p *Placements) RecordAssignment(host uint32, now Time) {
 	h := p.placementsAt(host)
 	if h.assignments = append(h.assignments, now); len(h.assignments) > maxAssignmentsPerHost {
@@ -121,7 +126,7 @@
 	}
 }
 
-// AssignmentsSince returns how many requests were assigned to a host since a time.
+// AssignmentsSince returns how many requests were assigned to a host at or after a time.
 func (p *Placements) AssignmentsSince(host uint32, since Time) int {
 	h := p.hosts[host]
 	if h == nil {
--- a/internal/balancer/loadestimate/host.go
+++ b/internal/balancer/loadestimate/host.go
@@ -10,36 +10,38 @@
 
 const (
 	// ReportDelay is the assumed age of a report on arrival, in nanoseconds. Load that was added
-	// within this time before a report counts in addition to the report. It may count twice, which
-	// spreads placements. If it did not count at all, all balancers would send requests to the host
-	// that looks empty.
+	// within this time before a report counts in addition to the report. Such load may count twice,
+	// which spreads placements. If it did not count at all, all balancers would send requests to the
+	// host that looks empty.
 	ReportDelay = int64(900e6)
-	// staleAfter is the age from which a report loses weight, and fadeTime the time constant from
-	// then on, in nanoseconds.
+	// staleAfter is the age in nanoseconds from which a report loses weight in the estimate.
 	staleAfter = float64(3e9)
-	fadeTime   = float64(6e9)
-	// maxAdditions limits the memory for one host. Beyond it, the oldest additions are merged.
+	// fadeTime is the time constant in nanoseconds with which an older report loses weight.
+	fadeTime = float64(6e9)
+	// maxAdditions is the largest number of additions for one host, to limit its memory. When one
+	// more is added, the oldest two are merged.
 	maxAdditions = 64
 )
 
-// addition is load that no report includes yet.
+// addition is load that this balancer has added to the host and that no report includes yet.
 type addition struct {
 	addedAt int64
-	load    float64 // in the caller's unit
+	load    float64 // in the caller's unit, as in Host.AddLoad; negative if load was removed
 }
 
 // Host estimates the load of one upstream host. The zero value has no report.
 type Host struct {
-	reported, queue float64 // load and queue length of the last report
-	changedAt       int64   // when the reported values last changed; 0 if there was no report
-	reportedAt      int64   // when the last report arrived; 0 if there was none
-	additions       []addition
+	reported, queue float64    // load and queue length of the last report; queue only shows a change
+	changedAt       int64      // when the reported values last changed; 0 if there was no report
+	reportedAt      int64      // when the last report arrived; 0 if there was none
+	additions       []addition // oldest first, at most maxAdditions
 }
 
-// Report records a load report: the requested load relative to the host's capacity, and the number
-// of requests that wait there. A load that is negative, infinite or not a number is ignored; a
-// queue that is negative or not a number counts as 0. A report with the same values again counts as
-// the same sample, whose age it does not reset.
+// Report records a load report. load is the host's load relative to its capacity, and queue the
+// number of requests that wait at the host. A report whose load is negative, infinite or not a
+// number is ignored; a queue that is negative or not a number counts as 0. A report with the same
+// values as the last one counts as the same sample and does not reset its age, since the host's
+// reports may be frozen.
 func (h *Host) Report(now int64, load, queue float64) {
 	if !(load >= 0) || math.IsInf(load, 0) {
 		return
@@ -61,8 +63,8 @@
 // LastReportTime returns when the last report arrived, or 0 if there was none.
 func (h *Host) LastReportTime() int64 { return h.reportedAt }
 
-// AddLoad records that this balancer's own load at the host has grown by load, in the caller's
-// unit. A negative load means that it has shrunk.
+// AddLoad records that this balancer's own load at the host has grown by load, in any unit that the
+// caller also uses for the argument fullLoad of Load. A negative load means that it has shrunk.
 func (h *Host) AddLoad(now int64, load float64) {
 	h.prune()
 	if len(h.additions) >= maxAdditions {
@@ -83,9 +85,10 @@
 	}
 }
 
-// Load returns the estimated load at now. fullLoad is the load, in the caller's unit, that fills a
-// host, or 0 if it is unknown. defaultLoad is the estimate for a host without reports. As a report
-// ages, the estimate approaches defaultLoad.
+// Load returns the estimated load at now as a fraction of the host's capacity. fullLoad is the load
+// that fills a host, in the unit of AddLoad. It is 0 if it is unknown; loads recorded by AddLoad are
+// then left out. defaultLoad is the estimate for a host without reports. As a report ages, the
+// estimate approaches defaultLoad.
 func (h *Host) Load(now int64, fullLoad, defaultLoad float64) float64 {
 	load := defaultLoad
 	if h.changedAt > 0 {
@@ -100,7 +103,8 @@
 	return max(0, load)
 }
 
-// HasRecentReport reports whether the reported values are recent enough to use.
+// HasRecentReport reports whether the reported values last changed less than staleAfter+fadeTime
+// ago.
 func (h *Host) HasRecentReport(now int64) bool {
 	return h.changedAt > 0 && float64(now-h.changedAt) < staleAfter+fadeTime
 }
--- a/internal/balancer/rendezvous/rendezvous.go
+++ b/internal/balancer/rendezvous/rendezvous.go
@@ -19,9 +19,9 @@
 	return h ^ h>>32
 }
 
-// Score returns the score of a host for a key; the host with the lowest score is first. Scores are
-// exponentially distributed with the weight as rate, so that the probability of being first is
-// proportional to the weight.
+// Score returns the score of a host for a key; the host with the lowest score is first. weight must
+// be above 0. Scores are exponentially distributed with the weight as rate, so that the probability
+// of being first is proportional to the weight.
 func Score(key, host string, weight float64) float64 {
 	uniform := (float64(Hash(key+host)>>11) + 0.5) / (1 << 53) // never 0, whose logarithm is infinite
 	return -math.Log(uniform) / weight
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -42,8 +42,8 @@
 	return b.cfg.SlowStartFloor + (1-b.cfg.SlowStartFloor)*age
 }
 
-// slowStartShare returns the fraction of all fresh connections of all balancers, above 1 if it may
-// take more than these, that a warming host may get.
+// slowStartShare returns the fraction of the fresh connections of all balancers that a warming host
+// may get. It can be above 1.
 func (b *Balancer) slowStartShare(h *host) float64 {
 	return slowStartShareFactor * b.cfg.SlowStartOverloadFactor * b.fullCapacityShare(h) * h.weight /
 		max(b.traffic.fleetWeight, h.weight)
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -6,34 +6,36 @@
 	"croftlock/internal/balancer/stallgossip"
 )
 
+// The message delay of a host is how long a message currently takes there. Its unit is the shortest
+// message latency objective of all classes.
 const (
-	// slowMessageDelay is the message delay that halves a host's turns, in shortest message latency
-	// objectives. A shorter delay has no effect.
+	// slowMessageDelay is the message delay that halves the weight of a host in the rotation. A
+	// shorter delay has no effect.
 	slowMessageDelay = 0.33
-	// stalledMessageDelay is the message delay from which on a host counts as stalled, in the same
-	// unit.
+	// stalledMessageDelay is the message delay from which on a host counts as stalled.
 	stalledMessageDelay = 1
-	// gossipInterval is the shortest time between two messages about the stall of one host, and
-	// gossipSpread the time within which one of the balancers that see the stall sends one, in
-	// nanoseconds.
+	// gossipInterval is the shortest time, in nanoseconds, between two messages of balancers to each
+	// other (gossip) about the stall of one host. It is also the time for which a balancer prefers its
+	// own observation of a host to gossip. gossipSpread is the longest random wait before a balancer
+	// that sees a stall sends its message, in nanoseconds.
 	gossipInterval = 2e9
 	gossipSpread   = 6e8
-	// delayValidFor is how long an observed delay counts in full, and delayTimeConstant the time
-	// constant with which it fades after that, in nanoseconds. Observations come once a second
-	// while messages are slow.
+	// delayValidFor is how long an observed delay counts in full. delayTimeConstant is the time
+	// constant with which it decays after that. Both are in nanoseconds. Observations come once a
+	// second while messages are slow.
 	delayValidFor     = 1.5e9
 	delayTimeConstant = 1e9
-	// stallMigrationShare is the probability, at each observation, that a mean connection is
-	// migrated from a stalled host.
+	// stallMigrationShare is the probability that a connection of mean load is migrated from a
+	// stalled host, for each observation of the stall.
 	stallMigrationShare = 0.15
 )
 
 // messageDelay is the last known delay of messages at a host.
 type messageDelay struct {
-	delay         float64 // observed or received by gossip, in shortest message latency objectives
+	delay         float64 // observed or received by gossip; 0 if unknown
 	observedAt    Time    // when delay was last set
-	gossipedAt    Time    // when this or another balancer last gossiped about the host
-	gossipPending bool    // this balancer will gossip about the host unless another one does first
+	gossipedAt    Time    // when a gossip message about the host was last sent or received
+	gossipPending bool    // a timer will send gossip about the host, unless another balancer does so first
 }
 
 // shortestMessageObjective returns the shortest message latency objective of all classes in
@@ -49,8 +51,8 @@
 	return shortest
 }
 
-// currentMessageDelay returns a host's message delay in shortest message latency objectives. It
-// fades if no new observation comes, and is 0 if the last delay was below slowMessageDelay.
+// currentMessageDelay returns a host's message delay in shortest message latency objectives. The
+// delay decays if no new observation comes. It is 0 if the last delay was below slowMessageDelay.
 func (b *Balancer) currentMessageDelay(h *host) float64 {
 	if h.messages.delay < slowMessageDelay {
 		return 0
@@ -58,7 +60,7 @@
 	return h.messages.faded(b.now)
 }
 
-// faded returns the delay at now.
+// faded returns the delay at now, after exponential decay from delayValidFor after its observation.
 func (m *messageDelay) faded(now Time) float64 {
 	age := max(0, float64(now-m.observedAt)-delayValidFor)
 	return m.delay * math.Exp(-age/delayTimeConstant)
@@ -68,8 +70,9 @@
 // or longer.
 func (b *Balancer) stalled(h *host) bool { return b.currentMessageDelay(h) >= stalledMessageDelay }
 
-// Observe handles an observation of an open connection. The unit of value depends on kind. Observe
-// ignores a connection that is not established by the request's newest attempt.
+// Observe handles an observation of an open connection: of the request with the given ID, established
+// by the given attempt, counted from 0. The unit of value depends on kind. Observe ignores an attempt
+// that is not the request's newest or has no open connection.
 func (b *Balancer) Observe(now Time, id string, attempt int, kind Observation, value float64) {
 	b.beginEvent(now)
 	r := b.requests[id]
@@ -93,10 +96,10 @@
 }
 
 // recordMessageDelay records the message delay of a host, in shortest message latency objectives.
-// If the host is stalled, some of its connections are migrated at random. Each balancer migrates a
-// small part, since all see the same stall. The probability is proportional to a connection's load,
-// since a few heavy connections overload a host, and migrating these is cheaper than migrating the
-// many light ones.
+// If the host is stalled, recordMessageDelay schedules gossip about it and migrates a random part of
+// its connections. The part is small, since all balancers see the same stall. The probability is
+// proportional to a connection's load, since a few heavy connections overload a host, and migrating
+// these is cheaper than migrating the many light ones.
 func (b *Balancer) recordMessageDelay(h *host, delay float64) {
 	h.messages.delay, h.messages.observedAt = delay, b.now
 	if delay < stalledMessageDelay {
@@ -111,8 +114,9 @@
 	}
 }
 
-// scheduleGossip schedules gossip about a stalled host after a random delay, in which another
-// balancer may gossip about it first.
+// scheduleGossip schedules gossip about a stalled host after a random wait, in which another balancer
+// may gossip about the host first. It has no effect if gossip is not allowed, is pending, or was sent
+// or received within gossipInterval.
 func (b *Balancer) scheduleGossip(h *host) {
 	if b.cfg.MayGossip && b.cfg.Instances > 1 && !h.messages.gossipPending &&
 		b.now-h.messages.gossipedAt >= gossipInterval {
@@ -138,9 +142,10 @@
 	}
 }
 
-// PeerMessageReceived handles a message from another balancer, about the placement ledger or
-// stalled hosts. Without the latter, balancers that hold one or two connections each would mostly
-// learn of a stalled host only by using it.
+// PeerMessageReceived handles a message from the balancer with number from, about the placement
+// ledger (the common count of all connections) or stalled hosts. Without messages about stalled
+// hosts, balancers that hold one or two connections each would mostly learn of a stalled host only
+// by using it.
 func (b *Balancer) PeerMessageReceived(now Time, from int, data []byte) {
 	b.beginEvent(now)
 	if b.ledgerMessageReceived(from, data) {
@@ -149,8 +154,8 @@
 	stallgossip.Decode(data, b.stallReceived)
 }
 
-// stallReceived records a stall that another balancer sees. Recent observations of this balancer's
-// own connections take precedence.
+// stallReceived records a stall that another balancer sees. If this balancer holds connections at the
+// host, its own observation within gossipInterval takes precedence.
 func (b *Balancer) stallReceived(r stallgossip.Record) {
 	for _, h := range b.hosts {
 		if uint32(h.hash) != r.Host {
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -9,37 +9,39 @@
 // usualQuotaShare is the fraction of the tenants' quotas that is in use on a usual day.
 const usualQuotaShare = 0.4
 
-// minRateWindow is the shortest time over which rates are measured, in seconds.
+// minRateWindow is the shortest time over which rates are measured, in seconds, unless
+// traffic.maxWindow is shorter.
 const minRateWindow = 2
 
-// traffic estimates the rates of new connections: of fresh ones, and of those that come back
-// together as a wave. If each of many balancers observes little traffic, the estimates rely on the
-// quotas.
+// traffic estimates the rates of new connections: of fresh ones, and of retries, which come back
+// together as a wave after a host has lost or sent away its clients. If each of many balancers
+// observes little traffic, the estimates rely on the tenants' quotas.
 type traffic struct {
-	instances      float64
-	maxWindow      Time // longest time over which rates are measured
-	overloadWindow Time // time over which a wave is counted
+	instances      float64 // number of balancers
+	maxWindow      Time    // longest time over which rates are measured
+	overloadWindow Time    // time constant of the count of retries, Config.SlowStartOverloadWindow
 
 	observedSince  Time          // time of the first event; -1 before it
-	endRate        float64       // connections that end by themselves, in mean connections per second
-	freshRequests  float64       // fading sum of requests that are not retries
-	fadedAt        Time          // time of endRate and freshRequests
-	retries        decay.Counter // over overloadWindow
-	departedWeight decay.Counter // weight of hosts that have begun to send their clients away
+	endRate        float64       // connections that ended by themselves, in mean connections per second
+	freshRequests  float64       // number of requests that are not retries, with exponential decay
+	fadedAt        Time          // time up to which the decay of endRate and freshRequests is applied
+	retries        decay.Counter // number of retries, with time constant overloadWindow
+	departedWeight decay.Counter // weight of hosts that are no longer ready, over 2*overloadWindow
 
 	expectedRate        float64 // fresh connections per second here, by the quotas; 0 without quotas
 	expectedConnections float64 // open connections at all balancers, by the quotas; 0 without quotas
 
-	fleetWeight      float64
-	fleetWeightAt    Time
-	fleetWeightDecay Time // time constant with which fleetWeight falls
+	fleetWeight      float64 // weight of the ready hosts; falls slowly if hosts are lost
+	fleetWeightAt    Time    // when fleetWeight was last updated
+	fleetWeightDecay Time    // time constant with which fleetWeight falls
 }
 
-// newTraffic returns estimates without events. ejectionInitial is the duration of a first ejection.
+// newTraffic returns estimates without events. ejectionInitial is the duration of a first ejection;
+// rates are measured over that time, or over a slow start if that is longer.
 func newTraffic(cfg *Config, ejectionInitial Time) traffic {
 	t := traffic{instances: float64(cfg.Instances), maxWindow: max(cfg.SlowStartDuration, ejectionInitial),
 		overloadWindow: cfg.SlowStartOverloadWindow, observedSince: -1,
-		fleetWeightDecay: 2*cfg.SlowStartDuration + 1}
+		fleetWeightDecay: 2*cfg.SlowStartDuration + 1} // + 1 avoids a division by zero
 	for _, tenant := range cfg.Tenants {
 		t.expectedRate += usualQuotaShare * tenant.RateQuota / float64(cfg.Instances)
 		t.expectedConnections += usualQuotaShare * tenant.ConnectionQuota
@@ -47,7 +49,8 @@
 	return t
 }
 
-// window returns the time over which rates are measured, in seconds.
+// window returns the time over which rates are measured, in seconds: the time since the first event,
+// within its bounds.
 func (t *traffic) window(now Time) float64 {
 	return min(float64(t.maxWindow)/1e9, max(minRateWindow, float64(now-t.observedSince)/1e9))
 }
@@ -61,16 +64,17 @@
 	t.endRate, t.freshRequests, t.fadedAt = t.endRate*f, t.freshRequests*f, now
 }
 
-// connectionEnded counts a connection that ended by itself. In the long run as many connections end
-// as fresh ones begin. Unlike arrivals, ends do not include retries: clients that come back without
-// marking their requests as retries would raise the budgets of warming hosts just when these
-// budgets matter most.
+// connectionEnded counts a connection that ended by itself. turns is its cost in mean connections.
+// In the long run as many connections end as fresh ones begin, so that endRate estimates the rate of
+// fresh connections. Arrivals would not do: clients that come back without marking their requests as
+// retries would raise the slow start budgets of hosts just when these budgets matter most.
 func (t *traffic) connectionEnded(now Time, turns float64) {
 	t.fade(now)
 	t.endRate += turns / t.window(now)
 }
 
-// arrived counts a request, and returns the rate per second of similar requests at all balancers.
+// arrived counts a request, and returns the rate per second at all balancers of requests of the same
+// kind: retries if isRetry is true, else fresh requests. hosts is the number of listed hosts.
 func (t *traffic) arrived(now Time, isRetry bool, hosts int) float64 {
 	t.fade(now)
 	t.retries.Add(now, t.overloadWindow, 0)
@@ -84,8 +88,9 @@
 	return rate
 }
 
-// waveRate returns how many connections per second a wave brings to all balancers. It expects that
-// the connections of one host come back together, or those of all draining hosts if these are more.
+// waveRate returns how many retries per second a wave brings to all balancers. It expects that the
+// connections of one of the given number of hosts come back together, or those of all hosts that
+// have recently departed if these are more.
 func (t *traffic) waveRate(now Time, hosts int) float64 {
 	t.departedWeight.Add(now, 2*t.overloadWindow, 0)
 	share := max(1/float64(max(1, hosts)), t.departedWeight.Sum/max(t.fleetWeight, 1))
@@ -94,13 +99,15 @@
 	return t.instances * estimateRate(t.retries.Sum, seconds, expected)
 }
 
-// hostDeparted counts a host that has begun to send its clients away.
+// hostDeparted counts a host of the given weight that is no longer ready, so that its clients come
+// back soon.
 func (t *traffic) hostDeparted(now Time, weight float64) {
 	t.departedWeight.Add(now, 2*t.overloadWindow, weight)
 }
 
-// updateFleetWeight updates the weight of the fleet to which the rates belong. The weight falls
-// slowly: after the loss of a zone, connections still end at the rate of the whole earlier fleet.
+// updateFleetWeight updates fleetWeight, the weight of the hosts that cause the measured rates.
+// weight is that of the hosts that are ready now. fleetWeight falls slowly: after the loss of a zone,
+// connections still end at the rate of all earlier hosts.
 func (t *traffic) updateFleetWeight(now Time, weight float64) {
 	f := math.Exp(-float64(now-t.fleetWeightAt) / float64(t.fleetWeightDecay))
 	t.fleetWeight, t.fleetWeightAt = max(weight, t.fleetWeight*f+weight*(1-f)), now
@@ -115,7 +122,7 @@
 	return (n + 1) / (seconds + 1/expected)
 }
 
-// updateFleetWeight updates the weight of the fleet, and returns the weight of the ready hosts.
+// updateFleetWeight updates traffic.fleetWeight, and returns the weight of the ready hosts.
 func (b *Balancer) updateFleetWeight() float64 {
 	total := 0.0
 	for _, h := range b.hosts {
@@ -127,8 +134,9 @@
 	return total
 }
 
-// sparseTraffic reports whether a balancer holds less than one connection per host, by the quotas
-// if there are any. Its own turns and loads then say little about the fleet.
+// sparseTraffic reports whether a balancer holds less than one connection per host: a mean balancer
+// by the tenants' quotas, or this one if there are no quotas. The loads and the rotation of a single
+// balancer then say little about the load of the hosts.
 func (b *Balancer) sparseTraffic() bool {
 	if b.traffic.expectedConnections > 0 {
 		return b.traffic.expectedConnections < float64(b.cfg.Instances*len(b.hosts))
