--- a/internal/balancer/agegroup_test.go
+++ b/internal/balancer/agegroup_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// placeRandomly sends n requests to random balancers. Each is established and stays open. It
-// returns how many are at hosts for which matches returns true.
+// placeRandomly sends n requests to random balancers. Each connection is established and stays open.
+// name is a prefix of the request IDs. placeRandomly returns the number of connections at hosts for
+// whose ID matches returns true.
 func placeRandomly(balancers []*fake, rng *rand.Rand, name string, n int, matches func(host string) bool) int {
 	counted := 0
 	for i := range n {
@@ -24,9 +25,9 @@
 	return counted
 }
 
-// TestNewerHostsAreFilled checks that newer hosts, which are empty, get more than their turns.
-// Without load reports or a ledger, balancers with few connections each cannot see that a host is
-// empty.
+// TestNewerHostsAreFilled checks that newer hosts, which have started recently and are empty, get more
+// requests than their share by weight. Without load reports or a placement ledger, balancers with few
+// connections each cannot see that a host is empty.
 func TestNewerHostsAreFilled(t *testing.T) {
 	const newerHosts, connections = 40, 2400
 	for _, n := range []int{60, 300} {
@@ -55,7 +56,7 @@
 			t.Errorf("%d balancers: %d of %d connections to the newer hosts, which are empty; want at least %d",
 				n, filled, connections/2, connections/2*7/10)
 		}
-		// Once the newer hosts hold their share, they get their turns only.
+		// Once the newer hosts hold their share, they get their share of the requests by weight only.
 		later := placeRandomly(balancers, rng, "later", connections, isNewer)
 		t.Logf("%d balancers: %d of %d to the newer hosts later", n, later, connections)
 		if later > connections*65/100 || later < connections*4/10 {
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestModuleSize checks that the files that deploy/balancer.toml lists as policy, and their lines,
-// are short.
+// TestModuleSize checks that the files in the list "policy" of deploy/balancer.toml, the decision
+// module, and their lines are short.
 func TestModuleSize(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// benchRequest returns a request without a tenant and with 2 s left.
+// benchRequest returns a request without a tenant whose client waits for 2 s.
 func benchRequest(id, group string) Request {
 	return Request{ID: id, Tenant: -1, Group: group, Remaining: 2 * sec}
 }
 
-// BenchmarkPlacement measures a request from its arrival to the end of its connection.
+// BenchmarkPlacement measures the events of a request from its arrival to the end of its connection,
+// by the number of hosts.
 func BenchmarkPlacement(b *testing.B) {
 	for _, n := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -30,7 +31,7 @@
 	}
 }
 
-// BenchmarkList measures the application of a complete endpoint list.
+// BenchmarkList measures the application of a complete endpoint list, by its number of hosts.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -44,7 +45,7 @@
 	}
 }
 
-// BenchmarkReport measures the handling of a load report.
+// BenchmarkReport measures the handling of a load report, by the number of hosts.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		f := startReporting(b, settings(), fleet(n)...)
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// checkPollsAfterFailures lets discovery fail the given number of times, waits after each failure,
-// and checks that discovery is polled again within the given time of each.
+// checkPollsAfterFailures makes discovery fail the given number of times, and advances the clock by
+// wait after each failure. It checks that the balancer polls discovery again at most within after
+// each failure.
 func checkPollsAfterFailures(t *testing.T, cfg Config, failures int, within, wait Time) {
 	t.Helper()
 	f := start(t, cfg, fleet(3)...)
@@ -32,9 +33,9 @@
 	}
 }
 
-// TestSmallFleetHasTimeForSecondPoll checks that two polls fit into the time after which a balancer
-// is expected to know of a change. The first poll after a long outage may find discovery
-// overloaded.
+// TestSmallFleetHasTimeForSecondPoll checks that 6 balancers poll often enough for two polls within
+// the time after which a balancer is expected to know of a change. The first poll after a long
+// outage may find discovery overloaded.
 func TestSmallFleetHasTimeForSecondPoll(t *testing.T) {
 	cfg := settings()
 	cfg.PollsDiscovery, cfg.PollInterval, cfg.Instances = true, 10*sec, 6
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -17,25 +17,25 @@
 	at            Time
 }
 
-// fake takes the place of the proxy core of one balancer: it records the effects, and a test calls
-// the events. The maps are keyed by request ID.
+// fake takes the place of the proxy core of one balancer: it records the effects that the balancer
+// calls. Tests call its methods to pass events to the balancer. The maps are keyed by request ID.
 type fake struct {
 	t               testing.TB
 	b               *Balancer
-	now             Time
-	attemptsStarted []attemptStart
-	attempts        map[string]int // number of attempts started
-	inFlight        map[string]bool
+	now             Time            // the fake's clock, which only run and the tests advance
+	attemptsStarted []attemptStart  // in the order in which they started
+	attempts        map[string]int  // number of attempts started
+	inFlight        map[string]bool // an attempt or its connection has not ended
 	answers         map[string]int  // number of final answers
 	rejected        map[string]Time // Retry-After of the rejection
 	failed          map[string]bool
 	migrations      []string // request IDs
 	cancelled       []string // request IDs
-	watches         []Time   // when the endpoint list was subscribed to
-	timers          []timer
-	peerMessages    [][]byte
+	watches         []Time   // times of calls of WatchList
+	timers          []timer  // not fired yet, in the order in which they were set
+	peerMessages    [][]byte // messages that were sent to other balancers
 	healthChecked   []string // host IDs
-	trace           []string // all effects
+	trace           []string // all effects, one line each
 }
 
 // timer is one call of Effects.Schedule.
@@ -106,7 +106,8 @@
 
 func (f *fake) Report(e Event) { f.record("report %T %+v", e, e) }
 
-// settings returns the settings of a single balancer with one class.
+// settings returns the settings of a single balancer in zone a of the zones a and b, with one class.
+// Its latency objective is 300 ms, its deadline 2 s. There are no tenants, load reports or gossip.
 func settings() Config {
 	return Config{Instance: 0, Instances: 1, Zone: "a", Zones: []string{"a", "b"}, Tick: 5 * ms,
 		Classes:     []Class{classWith(300*ms, 2*sec, 100*ms)},
@@ -116,14 +117,15 @@
 		EjectionInitial: -1, EjectionMax: -1}
 }
 
-// classWith returns a class with the given latency objective, deadline and message latency
-// objective.
+// classWith returns an idempotent class with the given latency objective, deadline and message
+// latency objective.
 func classWith(objective, deadline, messageObjective Time) Class {
 	return Class{Name: "x", LatencyObjective: objective, Deadline: deadline,
 		MessageLatencyObjective: messageObjective}
 }
 
-// start returns a balancer that has a cached endpoint list, at 100 s.
+// start returns a fake with a new balancer that has received the hosts as its cached endpoint list.
+// The fake's clock is at 100 s, so that hosts can have started before.
 func start(t testing.TB, cfg Config, hosts ...ListedHost) *fake {
 	t.Helper()
 	f := &fake{t: t, now: 100 * sec, attempts: map[string]int{}, inFlight: map[string]bool{},
@@ -137,12 +139,14 @@
 	return f
 }
 
-// listed returns a host of zone a that started long ago, as an entry of an endpoint list.
+// listed returns a host of zone a and weight 1 that started long ago, as an entry of an endpoint
+// list.
 func listed(id string, state HostState) ListedHost {
 	return ListedHost{ID: id, Zone: "a", Weight: 1, State: state}
 }
 
-// warming returns a ready host that started at startedAt.
+// warming returns a ready host that started at startedAt. It is warming (in slow start) until
+// Config.SlowStartDuration later.
 func warming(id string, startedAt Time) ListedHost {
 	h := listed(id, Ready)
 	h.StartedAt = startedAt
@@ -152,7 +156,7 @@
 // hostID returns the ID of host i of fleet.
 func hostID(i int) string { return fmt.Sprintf("s%02d", i) }
 
-// fleet returns n ready hosts, from hostID(0) on.
+// fleet returns n ready hosts of zone a and weight 1, with the IDs hostID(0) to hostID(n-1).
 func fleet(n int) []ListedHost {
 	var hosts []ListedHost
 	for i := range n {
@@ -161,10 +165,10 @@
 	return hosts
 }
 
-// listChanged passes a change of the endpoint list to the balancer.
+// listChanged passes the given changed hosts to the balancer, as a change of the endpoint list.
 func (f *fake) listChanged(hosts ...ListedHost) { f.b.ListReceived(f.now, ListDelta, hosts) }
 
-// run advances the clock by d, and fires the timers that are due in order.
+// run advances the clock by d, and fires the timers that are due in the order of their times.
 func (f *fake) run(d Time) {
 	end := f.now + d
 	for {
@@ -185,26 +189,29 @@
 	f.now = end
 }
 
-// request makes a request arrive that has no tenant and 2 s left.
+// request passes a new request with the given ID to the balancer. The request has no tenant, and its
+// client waits for 2 s.
 func (f *fake) request(id string) {
 	f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 2 * sec})
 }
 
-// failConnect makes a connect to a host fail.
+// failConnect records a failed connect to a host, without a request.
 func (f *fake) failConnect(h *host) {
 	f.b.beginEvent(f.now)
 	f.b.hostFailed(h, f.now, true)
 }
 
-// lastAttempt returns the newest attempt.
+// lastAttempt returns the newest attempt of all requests. There must be one.
 func (f *fake) lastAttempt() attemptStart { return f.attemptsStarted[len(f.attemptsStarted)-1] }
 
-// establish makes the newest attempt of a request set up its connection, after 10 ms.
+// establish reports that the newest attempt of a request has set up its connection, in 10 ms. The
+// clock does not advance.
 func (f *fake) establish(id string) {
 	f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 10*ms)
 }
 
-// end ends the newest attempt of a request, or its connection. Status OK closes the request.
+// end ends the newest attempt of a request, or the connection that the attempt established. Status OK
+// means that the request has its final answer.
 func (f *fake) end(id string, status AttemptStatus) {
 	f.inFlight[id] = false
 	if status == OK {
@@ -213,13 +220,15 @@
 	f.attemptEnded(id, status, status == OK)
 }
 
-// attemptEnded reports the end of the newest attempt of a request to the balancer.
+// attemptEnded reports the end of the newest attempt of a request to the balancer. closed means that
+// the request has its final answer.
 func (f *fake) attemptEnded(id string, status AttemptStatus, closed bool) {
 	f.b.AttemptEnded(f.now, AttemptResult{RequestID: id, Attempt: f.attempts[id] - 1, Status: status,
 		Elapsed: 10 * ms, Closed: closed})
 }
 
-// serve makes a request arrive, establishes and ends its connection, and returns its host.
+// serve passes a new request to the balancer, establishes and ends its connection at once, and returns
+// the ID of its host.
 func (f *fake) serve(id string) string {
 	f.request(id)
 	host := f.lastAttempt().host
@@ -228,7 +237,7 @@
 	return host
 }
 
-// attemptsAt counts the attempts at a host, starting with index from of attemptsStarted.
+// attemptsAt returns the number of attempts at a host among f.attemptsStarted[from:].
 func (f *fake) attemptsAt(host string, from int) (n int) {
 	for _, a := range f.attemptsStarted[from:] {
 		if a.host == host {
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
-// slowDiscovery answers 14 polls per second, one after the other, and is down for 4 s.
+// slowDiscovery is a discovery that answers 14 polls per second, one after the other, and is down from
+// discoveryDown to discoveryUp.
 type slowDiscovery struct {
 	queue      []poll
-	busyUntil  Time
-	polls      []Time         // when polls came, since the start of the outage
-	answeredAt map[*fake]Time // when a balancer was last answered, since the end of the outage
+	busyUntil  Time           // when the next poll can be answered
+	polls      []Time         // times of the polls since the start of the outage
+	answeredAt map[*fake]Time // time of the last answer since the end of the outage, by balancer
 }
 
 // poll is one poll of the endpoint list by a balancer.
@@ -21,9 +22,9 @@
 }
 
 const (
-	pollTime      = sec / 14
-	pollTimeout   = 2 * sec // of polls that wait in the queue
-	discoveryDown = 106 * sec
+	pollTime      = sec / 14  // time that discovery takes to answer a poll
+	pollTimeout   = 2 * sec   // after which a poll that waits in the queue fails
+	discoveryDown = 106 * sec // on the clock that starts at 100 s, as does discoveryUp
 	discoveryUp   = 110 * sec
 )
 
@@ -123,8 +124,8 @@
 		rng := rand.New(rand.NewSource(seed))
 		balancers := manyBalancers(t, 80, seed)
 		drainReceived := map[*fake]map[string]Time{}
-		received := map[*fake]int{} // changes
-		delay := map[*fake]Time{}
+		received := map[*fake]int{} // number of changes that the balancer has received
+		delay := map[*fake]Time{}   // after which the balancer receives each change
 		for _, f := range balancers {
 			drainReceived[f] = map[string]Time{}
 			delay[f] = Time(rng.Int63n(int64(200 * ms)))
@@ -201,8 +202,9 @@
 			}
 		}
 	}
-	// Four times 0.2 of 0.45 connections per second makes 0.73 in 2 s, and the quotas are about 0.8
-	// of the hosts' capacity at most.
+	// The overload factor of 4 times a capacity share of 0.2 times 0.45 connections per second and
+	// host makes 0.73 in 2 s. The quotas, from which the 0.45 follows, are at most about 0.8 of the
+	// hosts' capacity, so that 0.9 is allowed.
 	if mean > 0.9 {
 		t.Errorf("%.2f connections within 2 s to a warming host on average, want at most its budget of 0.9", mean)
 	}
--- a/internal/balancer/grouphome_test.go
+++ b/internal/balancer/grouphome_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestGroupsKeepToTheirHome checks that all balancers place a group's connections at the first host
-// of its order until that host is full.
+// TestGroupsKeepToTheirHome checks that all balancers place the connections of a group (Request.Group)
+// at its home, the first host of the group's order of hosts, until that host is full.
 func TestGroupsKeepToTheirHome(t *testing.T) {
 	homes := map[string]bool{}
 	var f *fake
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestClassOfUnknownLoad checks that connections of a class count for one turn while their load is
-// unknown, and for their observed load afterwards.
+// TestClassOfUnknownLoad checks that connections of a class count for one turn (a mean connection)
+// while their load is unknown, and in proportion to their observed load afterwards.
 func TestClassOfUnknownLoad(t *testing.T) {
 	cfg := settings()
 	heavy := cfg.Classes[0]
--- a/internal/balancer/groupplacement_test.go
+++ b/internal/balancer/groupplacement_test.go
@@ -6,9 +6,11 @@
 	"testing"
 )
 
+// A group is the set of connections that Request.Group names. Each host bears a cost for each group
+// that it holds.
+
 // TestGroupsKeepToFewHosts checks that 80 balancers with two requests each place a group at few
-// hosts, since each host bears a cost for each group that it holds. They exchange no messages and
-// follow the same order of hosts.
+// hosts. The balancers exchange no messages and follow the same order of hosts.
 func TestGroupsKeepToFewHosts(t *testing.T) {
 	groupsAtHosts, connections := map[string]bool{}, map[string]int{}
 	rng := rand.New(rand.NewSource(5))
@@ -51,6 +53,8 @@
 	for i := range hosts {
 		hosts[i].Zone = []string{"z0", "z2"}[i%2]
 	}
+	// homes returns the number of attempts by host ID if each balancer places one request of the
+	// group. The host slow delays messages; "" means that no host does.
 	homes := func(slow string) map[string]int {
 		attempts := map[string]int{}
 		for instance := range instances {
@@ -89,16 +93,18 @@
 	}
 }
 
-// TestWarmingHostsShareGroups checks that half of a zone's warming hosts accept connections of a
-// group, and that they accept together as many connections as all of them do without groups.
+// TestWarmingHostsShareGroups checks that half of a zone's warming hosts (in slow start) accept
+// connections of a group by lottery, and that they accept together as many connections as all of the
+// warming hosts do without groups.
 func TestWarmingHostsShareGroups(t *testing.T) {
 	f := manyBalancers(t, 80, 1)[0]
 	ids := []string{"s01", "s02", "s03", "s04"}
 	for _, id := range ids {
 		f.listChanged(warming(id, f.now))
 	}
-	// countWins counts how often requests of a number of groups win the lottery. If groups is 0,
-	// they have no group.
+	// countWins returns how often 40000 requests, spread over the given number of groups, win the
+	// lottery for a warming host, and the pairs of group and host. If groups is 0, the requests have
+	// no group.
 	countWins := func(groups int) (wins int, groupsAtHosts map[string]bool) {
 		groupsAtHosts = map[string]bool{}
 		for i := range 40000 {
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -6,7 +6,7 @@
 	maxMisses         = 2    // consecutive queries without a reply after which the next server is queried
 	maxPending        = 256  // largest number of pending queries
 	initialPause      = 3e9  // first pause without queries after no ledger server replied, in nanoseconds
-	maxPauseDoublings = 4    // most doublings of the pause; during a pause no request waits for a reply
+	maxPauseDoublings = 4    // most doublings of the pause; keeps requests from waiting if no message arrives
 	pollInterval      = 2e9  // shortest time between two polls by ServerToPoll, in nanoseconds
 	pendingTimeout    = 10e9 // age from which a pending query may be evicted, in nanoseconds
 )
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlacementsAreTheSum checks that a host holds the sum of what each balancer was last known to
-// hold, whatever balancers report and whenever they restart, and that no count falls below 0.
+// TestPlacementsAreTheSum checks that the load of a host is the sum of the loads that the balancers
+// have reported, whatever they report and whenever they restart, and that no load falls below 0.
 func TestPlacementsAreTheSum(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := NewPlacements()
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestWhichServerIsQueried checks that the first ledger server that replies is queried: after
-// misses the next one, after misses of all of them none for a while, and an earlier one as soon as
-// it is back.
+// TestWhichServerIsQueried checks that the first ledger server that replies is queried. A query
+// without a reply is a miss. After maxMisses the next server is queried, after misses of all servers
+// none during a pause, and an earlier server as soon as it sends a message.
 func TestWhichServerIsQueried(t *testing.T) {
 	c := NewClient(300)
 	if got := c.servers; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
@@ -104,7 +104,7 @@
 		t.Error("expected a sync at the first message, none at the second, and one with a new epoch")
 	}
 	now := Time(1e9)
-	miss := func() { c.QueryTimedOut(now, "r") }
+	miss := func() { c.QueryTimedOut(now, "r") } // one query without a reply
 	miss()
 	c.ServerMessageReceived(0, 6)
 	miss()
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -10,9 +10,9 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedDecisions checks that the events of each seed lead to the counts and the choice of
-// ledger server in the golden file. The texts of digests and samples are part of the golden
-// files and keep earlier terms.
+// TestRecordedDecisions checks that the random events of each seed lead to the counts and the choice
+// of ledger server in the golden file. The texts passed to golden.Digest and golden.Samples are part
+// of the golden files and keep earlier terms.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
 	var lines strings.Builder
--- a/internal/balancer/ledgerassign_test.go
+++ b/internal/balancer/ledgerassign_test.go
@@ -7,13 +7,14 @@
 	"croftlock/internal/balancer/ledger"
 )
 
-// TestLedgerKeepsSlowStartBudget checks that with the ledger all balancers together use most of the
-// warming hosts' budget and never exceed it, also in a wave of returning clients.
+// TestLedgerKeepsSlowStartBudget checks that with the placement ledger, by which one balancer assigns
+// hosts for all, the balancers together use most of the budget of hosts in slow start (warming hosts)
+// and never exceed it, also in a wave of returning clients.
 func TestLedgerKeepsSlowStartBudget(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
-		wave      bool
-		warming   int
+		wave      bool // 60 returning clients per second instead of 10 other requests
+		warming   int  // number of warming hosts, of 20
 	}{
 		{1, true, 8}, {3, true, 8}, {20, true, 8}, {30, true, 8}, {40, false, 8}, {40, true, 8},
 		{150, true, 8}, {150, true, 17}, {300, true, 17}, {300, false, 17}, {150, true, 20},
--- a/internal/balancer/ledgerquery_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// TestLedgerBalancesLargeGroup checks that the ledger balances a large group over the
-// hosts. Balancers that hold a connection or two each place all of the group at the first host of
-// its order, while the ledger server observes all connections.
+// TestLedgerBalancesLargeGroup checks that the placement ledger balances the connections of a large
+// group (Request.Group) over the hosts. Without it, balancers that hold a connection or two each
+// place all of the group at the first host of its order. The ledger server, a balancer that assigns
+// hosts to the others, counts all connections.
 func TestLedgerBalancesLargeGroup(t *testing.T) {
 	var fullest [2]float64
 	var groupsAtHosts [2]int
@@ -25,9 +26,9 @@
 	}
 }
 
-// TestWithoutLedgerServer stops the first ledger server while a fifth of all messages is lost. No
-// request may wait for long, the next server has to be queried, and the first one has to receive
-// all connections again once it is back.
+// TestWithoutLedgerServer stops the first ledger server, the balancer that assigns hosts to the
+// others, while a fifth of all messages is lost. No request may wait for long, the next server has to
+// be queried, and the first server has to receive all connections again once it is back.
 func TestWithoutLedgerServer(t *testing.T) {
 	net := newPeerNetwork(t, 40, 20, true)
 	net.lossRate = 0.2
--- a/internal/balancer/ledgersync_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -6,11 +6,12 @@
 	"croftlock/internal/balancer/ledger"
 )
 
-// ledgerFaults are faults of ledger servers and of messages.
+// ledgerFaults are faults of ledger servers, the balancers that count the connections of all, and of
+// messages between balancers.
 var ledgerFaults = []struct {
 	name  string
-	fault func(t *testing.T, net *peerNetwork)
-	soon  bool // balancers report their connections to a restarted ledger server at once
+	fault func(t *testing.T, net *peerNetwork) // simulates the fault and its end
+	soon  bool                                 // the ledger has to be nearly complete 2.5 s later already
 }{
 	{"the ledger server is paused for 5 s", func(t *testing.T, net *peerNetwork) {
 		net.down[0] = true
@@ -55,9 +56,9 @@
 	}, false},
 }
 
-// TestLedgerThroughFaults checks that no request waits longer than for two missing replies,
-// whatever happens to ledger servers and messages, and that the ledger has all connections again
-// soon after the fault.
+// TestLedgerThroughFaults checks that no request waits longer than three reply timeouts, whatever
+// happens to ledger servers and messages, and that the first ledger server counts nearly all
+// connections again 15.5 s after the fault.
 func TestLedgerThroughFaults(t *testing.T) {
 	for _, c := range ledgerFaults {
 		net := newPeerNetwork(t, 40, 20, true)
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-// startReporting starts a balancer whose hosts report their load in health checks.
+// startReporting returns a fake as start does, with settings by which hosts report their load and
+// queue length in health checks, and with one tenant of 10 requests per second and 80 connections
+// per host.
 func startReporting(t testing.TB, cfg Config, hosts ...ListedHost) *fake {
 	t.Helper()
 	cfg.MayHealthCheck, cfg.LoadField, cfg.QueueField = true, 0, 1
@@ -14,7 +16,8 @@
 	return start(t, cfg, hosts...)
 }
 
-// reportLoads makes each host report the load that the function returns for its index.
+// reportLoads makes each host report the load, 1 for a full host, that the function returns for the
+// host's index in Balancer.hosts.
 func (f *fake) reportLoads(load func(i int) float64) {
 	for i, h := range f.b.hosts {
 		f.b.HealthCheckEnded(f.now, h.hostID, OK, []float64{load(i), 0})
@@ -22,7 +25,7 @@
 	f.b.updateFleetLoad()
 }
 
-// healthChecks counts the health checks of a host.
+// healthChecks returns the number of health checks of a host that were started.
 func (f *fake) healthChecks(host string) (n int) {
 	for _, h := range f.healthChecked {
 		if h == host {
@@ -74,6 +77,8 @@
 // TestHealthChecksArePacedByPrice checks that health checks are less frequent if few requests
 // arrive or if checks are expensive: then a check costs more than its report saves.
 func TestHealthChecksArePacedByPrice(t *testing.T) {
+	// count returns the number of health checks in 30 s with the given requests per second and price
+	// of a check.
 	count := func(rate int, price float64) int {
 		f := startReporting(t, settings(), fleet(10)...)
 		f.b.cfg.Prices.HealthCheck = price
@@ -95,9 +100,8 @@
 	}
 }
 
-// TestConnectionsMigrateFromFullHost checks that a slowed host, which still answers health checks,
-// loses its turns by its reports, and that connections migrate off it while other hosts have spare
-// capacity.
+// TestConnectionsMigrateFromFullHost checks that a host that reports three times its capacity gets no
+// more requests, and that connections migrate off it while other hosts have spare capacity.
 func TestConnectionsMigrateFromFullHost(t *testing.T) {
 	f := startReporting(t, settings(), fleet(5)...)
 	f.reportLoads(func(int) float64 { return 0.4 })
@@ -168,9 +172,9 @@
 	}
 }
 
-// TestReportedLoadOutweighsWeights checks that a host whose listed weight makes it look empty does
-// not get all requests if its load is reported. Weights that fall as a host fills come late, and to
-// all balancers alike.
+// TestReportedLoadOutweighsWeights checks that a host with a large weight in the endpoint list does
+// not get all requests if its reported load is that of the others. Discovery may lower the weight of
+// a host as the host fills, but all balancers receive such a weight late and at the same time.
 func TestReportedLoadOutweighsWeights(t *testing.T) {
 	attempts := 0
 	for instance := range 3 {
--- a/internal/balancer/peernetwork_test.go
+++ b/internal/balancer/peernetwork_test.go
@@ -8,22 +8,22 @@
 	"testing"
 )
 
-// peerNetwork connects balancers whose messages to one another arrive late or not at all. Request
-// IDs are unique among all balancers.
+// peerNetwork connects balancers whose messages to one another arrive late or not at all. An instance
+// is the number of a balancer. Request IDs are unique among all balancers.
 type peerNetwork struct {
-	balancers       []*fake
+	balancers       []*fake // by instance
 	rng             *rand.Rand
-	now             Time
+	now             Time // clock of the network; run advances the clocks of the balancers to it
 	inFlight        []datagram
-	lossRate        float64
-	lostKind        byte              // kind of messages that are lost; 0 for none
-	down            map[int]bool      // balancers that neither send nor receive
-	bytes           int               // sent in messages
-	connections     map[string]*fake  // balancer that placed the connection, by request ID
+	lossRate        float64           // fraction of the messages that are lost, 0 to 1
+	lostKind        byte              // kind (first byte) of messages that are all lost; 0 means none
+	down            map[int]bool      // by instance: balancers that neither send nor receive
+	bytes           int               // number of bytes sent in messages
+	connections     map[string]*fake  // balancer that holds the open connection, by request ID
 	connectionOrder []string          // keys of connections, in the order in which they were opened
-	waiting         map[string]Time   // when requests that have no attempt yet arrived
-	instanceOf      map[string]int    // balancer at which a request arrived
-	attempts        map[string][]Time // times of attempts, by host
+	waiting         map[string]Time   // arrival times of requests that have no attempt yet, by request ID
+	instanceOf      map[string]int    // instance at which the request arrived, by request ID
+	attempts        map[string][]Time // times of attempts, by host ID
 }
 
 // datagram is a message between two balancers that has not arrived yet.
@@ -40,7 +40,8 @@
 	instance int
 }
 
-// SendToPeer sends a message to one balancer or to all others, after 1 to 20 ms. It may be lost.
+// SendToPeer sends a message to one balancer, or to all others if peer is -1. The message arrives
+// after 1 to 20 ms or is lost.
 func (k *networkedFake) SendToPeer(peer int, data []byte) {
 	net := k.network
 	for to := range net.balancers {
@@ -54,7 +55,8 @@
 	}
 }
 
-// newPeerNetwork returns a network of n balancers, each of which has the given number of hosts.
+// newPeerNetwork returns a network of n balancers that all have the same hosts, of the given number.
+// Its clock is at 100 s. mayGossip is Config.MayGossip, without which there is no ledger.
 func newPeerNetwork(t *testing.T, n, hosts int, mayGossip bool) *peerNetwork {
 	t.Helper()
 	net := &peerNetwork{rng: rand.New(rand.NewSource(5)), now: 100 * sec, down: map[int]bool{},
@@ -66,7 +68,8 @@
 	return net
 }
 
-// startBalancer returns a new balancer that sends its messages through the network.
+// startBalancer returns the new balancer with number instance of n, which sends its messages through
+// the network. Its slow start takes 20 s, its latency objective is 800 ms and its deadline 4.8 s.
 func (net *peerNetwork) startBalancer(t *testing.T, instance, n, hosts int, mayGossip bool) *fake {
 	t.Helper()
 	cfg := settings()
@@ -111,7 +114,8 @@
 	}
 }
 
-// establishAttempts establishes the attempts that a balancer has started since the last call.
+// establishAttempts establishes the attempts that a balancer has started since the last call, and
+// records them.
 func (net *peerNetwork) establishAttempts(f *fake) {
 	for _, a := range f.attemptsStarted {
 		net.attempts[a.host] = append(net.attempts[a.host], net.now)
@@ -123,13 +127,15 @@
 	f.attemptsStarted = nil
 }
 
-// randomGroup returns one of 20 groups at random. About 22% of the calls return the first one.
+// randomGroup returns a random value of Request.Group, one of 20. About 22% of the calls return the
+// first one.
 func (net *peerNetwork) randomGroup() string {
 	return fmt.Sprint("g", int(20*math.Pow(net.rng.Float64(), 2)))
 }
 
-// runTraffic makes requests arrive for the time d, at the given rate per second and at random
-// balancers. Connections have the given mean lifetime in seconds.
+// runTraffic makes requests arrive at random balancers for the time d, at the given rate per second.
+// Connections have the given mean lifetime in seconds. returned is Request.Returned, which marks
+// clients that come back.
 func (net *peerNetwork) runTraffic(d Time, rate, lifetime float64, returned bool) {
 	step := 20 * ms
 	for end := net.now + d; net.now < end; {
@@ -155,8 +161,8 @@
 	}
 }
 
-// loadBalance returns the connections of the fullest host as a multiple of the mean, and the number
-// of pairs of a group and a host that holds it.
+// loadBalance returns the number of connections of the fullest host as a multiple of the mean of all
+// hosts, and the number of pairs of a group and a host that holds connections of it.
 func (net *peerNetwork) loadBalance() (fullest float64, groupsAtHosts int) {
 	connections, groups := map[string]int{}, map[string]bool{}
 	for id, f := range net.connections {
@@ -171,7 +177,8 @@
 	return fullest, len(groups)
 }
 
-// countQueryingFirstServer counts the balancers that query the first ledger server.
+// countQueryingFirstServer returns the number of balancers that query the first ledger server,
+// instance 0.
 func (net *peerNetwork) countQueryingFirstServer() (n int) {
 	for _, f := range net.balancers {
 		if f.b.ledger.client.Server(net.now) == 0 {
@@ -181,7 +188,8 @@
 	return n
 }
 
-// ledgerConnections returns how many connections the first ledger server counts.
+// ledgerConnections returns how many connections, in mean connections, the first ledger server,
+// instance 0, counts.
 func (net *peerNetwork) ledgerConnections() (n float64) {
 	for _, h := range net.balancers[0].b.hosts {
 		connections, _, _ := net.balancers[0].b.ledger.placements.Load(uint32(h.hash), 0)
@@ -190,12 +198,13 @@
 	return n
 }
 
-// ledgerCountError returns by how many connections the first ledger server's count is wrong.
+// ledgerCountError returns the difference between the first ledger server's count and the number of
+// open connections.
 func (net *peerNetwork) ledgerCountError() float64 {
 	return math.Abs(net.ledgerConnections() - float64(len(net.connections)))
 }
 
-// restart restarts the balancers from instance from up to, but not including, to. Their connections
+// restart replaces the balancers with instances from <= instance < to by new ones. Their connections
 // are lost.
 func (net *peerNetwork) restart(t *testing.T, from, to int) {
 	t.Helper()
@@ -211,7 +220,8 @@
 	}
 }
 
-// checkNoLongWaits fails the test if a request has waited longer than three reply timeouts.
+// checkNoLongWaits fails the test if a request without an attempt has waited longer than three
+// timeouts of a ledger server's reply. name is the fault that the test simulates.
 func (net *peerNetwork) checkNoLongWaits(t *testing.T, name string) {
 	t.Helper()
 	for id, at := range net.waiting {
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -15,16 +15,17 @@
 	rng         *rand.Rand
 	seed        int64
 	idempotency Idempotency
-	ids         []string
-	draining    map[string]bool // hosts
+	ids         []string        // of all requests
+	draining    map[string]bool // by host ID; the other maps are keyed by request ID
 	deadline    map[string]Time
-	established map[string]bool
-	mayHaveRun  map[string]bool
-	checked     int // how many of attemptsStarted are checked
+	established map[string]bool // the request has an open connection
+	mayHaveRun  map[string]bool // an attempt has ended that may have run
+	checked     int             // how many of attemptsStarted are checked
 }
 
-// runRandomEvents sends a random sequence of events to a balancer, checks the effects and returns
-// them.
+// runRandomEvents sends a random sequence of events to a balancer with one class of the given
+// idempotency. It checks the effects and returns them as text. The same seed leads to the same
+// events.
 func runRandomEvents(t *testing.T, seed int64, idempotency Idempotency) []string {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
@@ -102,7 +103,7 @@
 	r.attemptEnded(id, status, closed)
 }
 
-// endOverdueAttempts ends the attempts that have used up their time.
+// endOverdueAttempts ends the attempts that are not established and whose timeout has passed.
 func (r *randomRun) endOverdueAttempts() {
 	for _, a := range r.attemptsStarted {
 		if r.inFlight[a.request] && !r.established[a.request] && r.isNewest(a) && a.at+a.timeout <= r.now {
@@ -122,7 +123,8 @@
 	return false
 }
 
-// randomEvent sends one random event to the balancer.
+// randomEvent sends one random event to the balancer: a new request, a change of a request, the leave
+// of a client, or a change of a host.
 func (r *randomRun) randomEvent() {
 	switch k := r.rng.Intn(10); {
 	case k < 4:
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// The tests in this file assume that set-ups wait in one queue, that of a store which all hosts
-// share.
+// The tests in this file assume that the set-ups of connections at all hosts wait in one queue, that
+// of a store which the hosts share.
 
 // TestFirstAttemptsHaveLongTimeouts checks that an attempt gets half of its request's time while
-// few set-ups have been seen, since an attempt that is given up keeps its place in the queue. The
-// timeouts of later attempts are derived from the duration of set-ups.
+// few set-ups have been seen, since an attempt that has timed out keeps its place in the queue. Later
+// timeouts are derived from the duration of set-ups.
 func TestFirstAttemptsHaveLongTimeouts(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
@@ -42,6 +42,7 @@
 	for _, id := range []string{"a", "b"} {
 		f.request(id)
 	}
+	// slow reports that a request's attempt has set up its connection in 1.5 s.
 	slow := func(id string) { f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 1500*ms) }
 	f.now += 900 * ms
 	slow("a")
--- a/internal/balancer/setuptime/setuptime_test.go
+++ b/internal/balancer/setuptime/setuptime_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestQueueDelay checks that one set-up alone shows no queue, that the shorter delay of two counts,
-// and that it shrinks with time.
+// TestQueueDelay checks that one set-up of a connection alone shows no queue, that the shorter delay
+// of two set-ups counts, and that the delay shrinks with time.
 func TestQueueDelay(t *testing.T) {
 	var e Estimator
 	e.ExpectCompletion(900 * ms)
--- a/internal/balancer/slowstart_budget_test.go
+++ b/internal/balancer/slowstart_budget_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestSlowStartTokensOfSparseBalancersExpire checks that a wave does not get the budget that many
-// balancers with little traffic have left unused before.
+// TestSlowStartTokensOfSparseBalancersExpire checks that a wave of returning clients does not get the
+// part of a warming host's budget that many balancers with little traffic left unused earlier.
 func TestSlowStartTokensOfSparseBalancersExpire(t *testing.T) {
 	const instances = 60
 	n := 0
@@ -63,7 +63,7 @@
 			f.now += sec / 2
 		}
 		f.listChanged(warming("s03", f.now))
-		f.now += 4 * sec // without requests, before many at once
+		f.now += 4 * sec // without requests, so that tokens are left unused
 		from := len(f.attemptsStarted)
 		for i := range 10 {
 			id := fmt.Sprint("v", i)
--- a/internal/balancer/slowstart_noquota_test.go
+++ b/internal/balancer/slowstart_noquota_test.go
@@ -6,16 +6,18 @@
 	"testing"
 )
 
-// The fleets of this file have no tenants and thus no quotas from which to derive the number of
-// connections, so that each balancer estimates it from the few requests that it sees.
+// In the tests of this file there are no tenants and thus no quotas from which to derive the number
+// of connections. Each balancer estimates the number from the few requests that it sees. A warming
+// host is one in slow start.
 
 const (
 	noQuotaHosts       = 80
-	warmingHosts       = 30   // how many of these have just started
+	warmingHosts       = 30   // how many of the noQuotaHosts have just started
 	noQuotaRequestRate = 40.0 // requests per second
 )
 
-// manyBalancersWithoutQuotas returns n balancers without quotas and with noQuotaHosts hosts.
+// manyBalancersWithoutQuotas returns n balancers without quotas and with noQuotaHosts hosts. Slow
+// start takes 9 s. The clocks are at 100 s, and seed determines the random numbers.
 func manyBalancersWithoutQuotas(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
 	balancers := manyBalancers(t, n, seed)
@@ -36,7 +38,7 @@
 func TestWarmingHostsAreUsedWithoutQuotas(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
-		restarted float64 // fraction of the balancers
+		restarted float64 // fraction of the balancers that have just restarted
 	}{{1, 0}, {3, 0}, {30, 0.5}, {300, 0}, {300, 0.5}, {300, 1}} {
 		_, attempts, arrivals := startWarming(t, c.balancers, c.restarted, 1)
 		total, most := 0, 0
@@ -67,14 +69,16 @@
 }
 
 // startWarming starts warmingHosts hosts while n balancers serve requests. restarted is the
-// fraction of balancers that have just restarted. It returns when the hosts started, when each of
-// them got attempts during its slow start, and when requests arrived in that time.
+// fraction of balancers that restart just before. startWarming returns the time up at which the hosts
+// started, and for the 9 s of their slow start the times of attempts at each of them, by host ID, and
+// the times at which requests arrived.
 func startWarming(t *testing.T, n int, restarted float64, seed int64) (
 	up Time, attempts map[string][]Time, arrivals []Time) {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed + 6))
 	balancers, restartedBalancers := manyBalancersWithoutQuotas(t, n, seed), manyBalancersWithoutQuotas(t, n, seed+1)
 	at := 100 * sec
+	// pause returns a random time between two requests.
 	pause := func() Time { return Time(rng.ExpFloat64() / noQuotaRequestRate * 1e9) }
 	var before []Time
 	for ; at < 130*sec; at += pause() {
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestResumedHostIsNotFlooded checks that a host whose suspension ends gets no more of a wave of
-// clients than its slow start budget, though eighty balancers learn of it at the same moment. Its
-// earlier ejection must not keep it empty.
+// TestResumedHostIsNotFlooded checks that a host whose suspension by operators ends gets no more of a
+// wave of returning clients than its slow start budget, although 80 balancers learn of the end at the
+// same moment. The host's ejection from before the suspension must not keep it empty.
 func TestResumedHostIsNotFlooded(t *testing.T) {
 	const seeds = 100
 	resumedAt, fresh := 110*sec, 0
@@ -30,13 +30,14 @@
 	}
 }
 
-// snapshotHosts returns a host that started long ago and a warming one.
+// snapshotHosts returns s00, which started long ago, and s01, which is in slow start: it started 1 s
+// before the clock of start.
 func snapshotHosts() []ListedHost {
 	return []ListedHost{listed("s00", Ready), warming("s01", 99*sec)}
 }
 
-// snapshotSource returns a balancer that has ejected s00 and has 3 tokens of s01's slow start
-// budget.
+// snapshotSource returns a balancer that has ejected s00 for another 1 s after 2 failures, has 3
+// tokens of s01's slow start budget, and a mean connection cost of 7.
 func snapshotSource(t *testing.T) *fake {
 	t.Helper()
 	f := start(t, settings(), snapshotHosts()...)
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// manyBalancers returns n instances with the settings of a large fleet with little traffic: 11
-// hosts, and one fresh connection per half a minute at each balancer if n is 80.
+// manyBalancers returns n balancers for 11 hosts, whose tenant's quota is 5 requests per second in
+// total. If n is 80, each balancer gets about one fresh connection per half a minute. Slow start
+// takes 23 s. The clocks are at 100 s, and seed determines the random numbers.
 func manyBalancers(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
 	var balancers []*fake
@@ -25,8 +26,9 @@
 	return balancers
 }
 
-// replay sends requests at the given times to random balancers. Each is established at once. It
-// returns when attempts went to host.
+// replay sends requests at the given times to random balancers, and establishes each at once.
+// returned is Request.Returned, which marks clients that come back. replay returns the times of the
+// attempts at host.
 func replay(balancers []*fake, rng *rand.Rand, at []Time, returned bool, host string) []Time {
 	var attempts []Time
 	for i, now := range at {
@@ -52,10 +54,10 @@
 	return at
 }
 
-// replayWaves sends a wave of 30 returning clients to 80 balancers for each of a number of seeds.
-// The wave starts 1 s after up, after a call of setUp for each balancer. If after is not nil, it is
-// called with the balancers after each wave. The test fails if a wave brings more than 4
-// connections to host s03. replayWaves returns the mean number of these connections per wave.
+// replayWaves sends a wave of 30 returning clients to 80 new balancers for each seed from 1 to seeds.
+// It first calls setUp for each balancer. The wave starts 1 s after up and takes 1.2 s. If after is
+// not nil, it is called with the balancers after each wave. The test fails if a wave brings more than
+// 4 connections to host s03. replayWaves returns the mean number of these connections per wave.
 func replayWaves(t *testing.T, seeds int64, up Time, setUp func(f *fake),
 	after func(balancers []*fake, rng *rand.Rand)) (mean float64) {
 	t.Helper()
@@ -79,7 +81,8 @@
 	return float64(total) / float64(seeds)
 }
 
-// maxInWindow returns the largest number of times within any window.
+// maxInWindow returns the largest number of the given times, in ascending order, that are within any
+// period of length window.
 func maxInWindow(at []Time, window Time) int {
 	most := 0
 	for i := range at {
@@ -94,8 +97,9 @@
 	return most
 }
 
-// TestSparseTrafficUsesSlowStartBudget checks that a warming host gets its share of the requests
-// although its tokens at 80 balancers, with one request per half a minute each, expire unused.
+// TestSparseTrafficUsesSlowStartBudget checks that a warming host (one in slow start) gets its share
+// of the requests, although the tokens of its budget expire unused at 80 balancers that get one
+// request per half a minute each.
 func TestSparseTrafficUsesSlowStartBudget(t *testing.T) {
 	const seeds = 20
 	total, bound := 0, 0.0
@@ -119,7 +123,7 @@
 		}
 		attempts := replay(balancers, rng, arrivals, false, "s03")
 		total += len(attempts)
-		// The host's budget is 2.1 in 2 s at the end. Chance may bring more, but there is no wave.
+		// The host's budget is 2.1 connections in 2 s at the end of the 10 s. Chance may bring more.
 		if n := maxInWindow(attempts, 2*sec); n > 6 {
 			t.Errorf("seed %d: %d connections within 2 s at a warming host, want at most 6", seed, n)
 		}
@@ -140,9 +144,9 @@
 // manyBalancers: in the overload window of 2 s, four times 0.19 of 0.45 connections per second.
 const waveWarmingBudget = 0.68
 
-// TestWaveSparesWarmingHost checks that a wave does not exceed the budget of a warming host. The
-// clients of two hosts come back at once, at most about one at each balancer, so that no balancer
-// sees that it is a wave.
+// TestWaveSparesWarmingHost checks that a wave of returning clients does not exceed the budget of a
+// warming host. The clients of two draining hosts come back at once. No balancer sees that it is a
+// wave, since it gets at most about one of them.
 func TestWaveSparesWarmingHost(t *testing.T) {
 	up := 110 * sec
 	mean := replayWaves(t, 30, up, func(f *fake) {
@@ -208,9 +212,9 @@
 	}
 }
 
-// TestShedRequestMayGoToWarmingHost checks that requests marked by load shedding take part in the
-// lottery. Its chances count them: otherwise warming hosts would get only a part of their budget
-// while the others are overloaded.
+// TestShedRequestMayGoToWarmingHost checks that requests that load shedding would reject take part in
+// the lottery for a host in slow start. The chance to win is computed for all requests: without the
+// shed ones, warming hosts would get only a part of their budget while the others are overloaded.
 func TestShedRequestMayGoToWarmingHost(t *testing.T) {
 	f := manyBalancers(t, 80, 3)[0]
 	f.listChanged(warming("s03", f.now-8*sec))
--- a/internal/balancer/stalls_test.go
+++ b/internal/balancer/stalls_test.go
@@ -6,8 +6,9 @@
 	"croftlock/internal/balancer/stallgossip"
 )
 
-// TestFewGossipOfStalledHost checks that few of 16 balancers that see a host stall notify the
-// others, and that the others then avoid the host although they hold no connection there.
+// TestFewGossipOfStalledHost checks that few of 16 balancers that see a host stall (delay messages)
+// notify the others by gossip, and that the other balancers then avoid the host although they hold no
+// connection there.
 func TestFewGossipOfStalledHost(t *testing.T) {
 	var balancers []*fake
 	for instance := range 80 {
@@ -67,8 +68,8 @@
 	}
 }
 
-// FuzzStallGossip checks that no message makes a balancer record a delay that a message cannot
-// hold, or keeps it from placing requests.
+// FuzzStallGossip checks that whatever message a balancer receives, it records no delay outside the
+// range that messages can contain, and still places requests.
 func FuzzStallGossip(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(stallMessage("s01", 3))
@@ -89,7 +90,8 @@
 	})
 }
 
-// stallMessage returns a gossip message about one stalled host.
+// stallMessage returns a gossip message about one stalled host, given by its ID. delay is in shortest
+// message latency objectives.
 func stallMessage(host string, delay float64) []byte {
 	return stallgossip.Append(nil, stallgossip.Record{Host: uint32(stableHash(host)), Delay: delay})
 }
