--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -31,13 +31,13 @@
 	Deadline                Time // how long the client waits, over all attempts
 	Idempotency             Idempotency
 	DedupScope              DedupScope
-	DedupWindow             Time    // how long hosts discard repeats of a key
+	DedupWindow             Time    // how long hosts discard repeats of an idempotency key
 	PriorityWeight          float64 // value of an answer, per request or work (Config.PriorityByWork)
 	LatePriorityWeight      float64 // priority weight of a late answer; not used
-	MessageLatencyObjective Time    // desired duration of one message on an open connection; 0 if unknown
+	MessageLatencyObjective Time    // desired time for the host to handle one message; 0 if unknown
 }
 
-// Tenant holds the quotas of one of the customers that share the fleet.
+// Tenant holds the quotas of one of the customers that share the hosts.
 type Tenant struct {
 	Name            string
 	RateQuota       float64 // requests per second, all balancers together
@@ -45,12 +45,12 @@
 	ConnectionQuota float64 // open connections, all balancers together; 0 means no quota
 }
 
-// Prices holds what the operators deduct per unit of each kind. Only CrossZone and HealthCheck are
-// used.
+// Prices holds what the operators deduct from the value of the requests, per unit of each kind. Only
+// CrossZone and HealthCheck are used.
 type Prices struct {
 	CrossZone   float64
 	Waste       float64
-	HealthCheck float64
+	HealthCheck float64 // of one health check
 	PeerMessage float64
 	LateFail    float64
 	Handshake   float64
@@ -62,10 +62,10 @@
 // Config holds the settings of a balancer, which stay the same while it runs. It mirrors the
 // platform's settings one to one; package balancerconfig decodes them.
 type Config struct {
-	Instance, Instances int    // number of this balancer, from 0, and number of all balancers
-	Zone                string // zone of this balancer
-	Zones               []string
-	Tick                Time // shortest time between two batches of events, and shortest timer
+	Instance, Instances int      // number of this balancer, from 0, and number of all balancers
+	Zone                string   // name of this balancer's zone
+	Zones               []string // names of all zones; ledger queries contain an index, so the order must be common
+	Tick                Time     // shortest time between two batches of events, and shortest timer
 	Classes             []Class
 	Tenants             []Tenant
 	PriorityByWork      bool    // priority weights apply per unit of work, not per request
@@ -75,8 +75,8 @@
 	// an agent beside it without a subscription.
 	PollsDiscovery bool
 
-	MaxAttempts     int  // per request
-	ConnectTimeout  Time // per connect
+	MaxAttempts     int  // largest number of attempts of a request, at least 1
+	ConnectTimeout  Time // longest duration of one connect
 	IdleTimeout     Time // after which idle connections to hosts are closed; not used
 	MaxRetryAfter   Time // longest Retry-After that clients respect
 	SendsRetryAfter bool // whether clients read Retry-After
@@ -88,14 +88,14 @@
 	SlowStartFloor    float64 // fraction of its capacity that a host has at least when it starts, 0 to 1
 	SlowStartDuration Time    // time until a started host has its full capacity; 0 disables slow start
 	DrainGrace        Time    // not used
-	// A warming host fails if, within SlowStartOverloadWindow, it is sent more than
-	// SlowStartOverloadFactor times its current capacity.
+	// A host in slow start fails if it is sent more work within SlowStartOverloadWindow than
+	// SlowStartOverloadFactor times what its current capacity allows.
 	SlowStartOverloadFactor float64
 	SlowStartOverloadWindow Time
 	PollInterval            Time // longest time between two polls of discovery
 
-	// Positions of the load and of the queue length in load reports; -1 if reports do not contain
-	// them.
+	// Indexes of the load (1 is full) and of the queue length (number of waiting requests) in load
+	// reports; -1 if reports do not contain them.
 	LoadField, QueueField int
 
 	PassThrough  bool // packets pass through, and connections may arrive mid-flow; not used
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -114,7 +114,7 @@
 		MaxAttempts: 4, ConnectTimeout: 200 * ms, MaxRetryAfter: sec, SendsRetryAfter: true, MayCancel: true,
 		SlowStartFloor: 0.2, SlowStartDuration: 10 * sec, SlowStartOverloadFactor: 3,
 		SlowStartOverloadWindow: sec, PollInterval: 10 * sec, PassThrough: true,
-		EjectionInitial: -1, EjectionMax: -1}
+		EjectionInitial: -1, EjectionMax: -1} // derived from the deadline
 }
 
 // classWith returns an idempotent class with the given latency objective, deadline and message
@@ -153,7 +153,7 @@
 	return h
 }
 
-// hostID returns the ID of host i of fleet.
+// hostID returns the ID of host i, from 0, in the result of the function fleet.
 func hostID(i int) string { return fmt.Sprintf("s%02d", i) }
 
 // fleet returns n ready hosts of zone a and weight 1, with the IDs hostID(0) to hostID(n-1).
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -12,7 +12,8 @@
 }
 
 // outsideDedupScope reports whether a request may have run and h would not discard a repeat of it,
-// because h is outside the dedup scope of its idempotency key.
+// because h is outside the dedup scope of the request's idempotency key. It returns false if the
+// request has no key that hosts check (Idempotency is not IdempotentWithKey).
 func (b *Balancer) outsideDedupScope(h *host, r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -25,9 +25,9 @@
 	// objective; it is proportional to the delay.
 	assignCrossZoneCost = 2.0
 	assignStallCost     = 10.0
-	// assignSlowStartShare is the fraction of the requests that a warming host may get within the
-	// overload window that the ledger server assigns. The rest is left for requests whose query had
-	// no reply.
+	// assignSlowStartShare limits what the ledger server assigns to a warming host (one in slow start)
+	// within the overload window, as a fraction of the requests that the host may get. The rest is
+	// left for requests whose query had no reply.
 	assignSlowStartShare = 0.75
 )
 
--- a/internal/balancer/loadestimate/host_test.go
+++ b/internal/balancer/loadestimate/host_test.go
@@ -44,7 +44,7 @@
 		last = got
 	}
 	if last < 0.85 {
-		t.Errorf("load %.3f after 30 s of the same report in a fleet at 0.9, expected at least 0.85", last)
+		t.Errorf("load %.3f after 30 s of the same report with a default of 0.9, expected at least 0.85", last)
 	}
 	if h.HasRecentReport(30 * sec) {
 		t.Error("HasRecentReport is true after 30 s of the same report, expected false")
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -52,7 +52,7 @@
 	return r.trace
 }
 
-// answered reports whether a request has had its final answer, or its client has left.
+// answered reports whether a request has its final answer, or its client has left.
 func (r *randomRun) answered(id string) bool { return r.answers[id] > 0 }
 
 // checkAttempts checks the attempts that were started since its last call.
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -32,7 +32,7 @@
 	//   - It began to drain, or was removed or suspended, before the attempt: Request.attemptBlocked.
 	//   - The same happened, or it changed pools, before the request's line was written:
 	//     host.stopUnsentAttempts.
-	//   - The fleet's rules have changed and exclude the host for this request: Core.startAttempt.
+	//   - The published rules have changed and exclude the host for this request: Core.startAttempt.
 	Full
 	// Timeout means that no answer arrived in the time that Effects.StartAttempt specified
 	// (upstreamRequest.beginAttempt), or that the request's deadline had passed before the attempt
@@ -55,8 +55,8 @@
 	//   - Another invariant forbids the attempt: Request.attemptBlocked.
 	//   - The dedup window ended before the request's line was written:
 	//     upstreamRequest.startRetryWindowTimer.
-	//   - The fleet's rules now reject the request, and it has been answered: Core.startAttempt.
-	//   - The fleet's rules now place it in another pool, whose balancer takes over: Core.placeInPool.
+	//   - The published rules now reject the request, and it has been answered: Core.startAttempt.
+	//   - The published rules now place it in another pool, whose balancer takes over: Core.placeInPool.
 	//   - A health check was not made: Core.checkHost, HealthChecks.Check.
 	TooLate
 )
--- a/internal/balancer/retrystorm.go
+++ b/internal/balancer/retrystorm.go
@@ -58,7 +58,8 @@
 	s.successes++
 }
 
-// discountAttempt removes from the count an attempt that tells nothing about the fleet.
+// discountAttempt removes an attempt from the count of attempts, because its failure does not
+// indicate a retry storm.
 func (s *retryStorm) discountAttempt() { s.attempts = max(0, s.attempts-1) }
 
 // failedWithError records that an attempt of a request ended in an error. attempt is its number,
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -4,7 +4,8 @@
 
 // The rotation is smooth and weighted. A turn is the cost of a mean connection: each request brings
 // as many turns as its connection is expected to cost, and they are divided over all candidates by
-// weight. A host's deficit is the turns that it is owed.
+// weight. A host's deficit is the turns that it is owed. A warming host is one in slow start, whose
+// requests are limited by a budget.
 const (
 	// tieBreakSlack is by how many turns a candidate's deficit may be below the largest deficit of
 	// all candidates for the candidate to be picked by its load.
--- a/internal/balancer/rulestate_test.go
+++ b/internal/balancer/rulestate_test.go
@@ -12,11 +12,12 @@
 		want                Time // nanoseconds
 	}{
 		{1, 1, 10 * sec, 625 * ms},   // an eighth of half the interval
-		{3, 1, 10 * sec, 1200 * ms},  // the longest backoff of a small fleet
+		{3, 1, 10 * sec, 1200 * ms},  // the longest backoff, maxPollBackoff
 		{1, 80, 10 * sec, 4000 * ms}, // spaced for eighty balancers
 		{8, 300, 60 * sec, 5 * sec},  // the longest delay
 		{1, 300, 4 * sec, 2 * sec},   // half the interval
 	} {
+		// delayAfterFailure returns the delay before jitter.
 		d := discoveryPoller{failures: c.failures}
 		if got := Time(d.delayAfterFailure(c.interval, c.instances)); got != c.want {
 			t.Errorf("%d failures, %d balancers, poll interval %d s: delay %d ms, expected %d ms",
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -160,12 +160,12 @@
 }
 
 // TestWithoutUsableQuotas checks that requests are placed, without a division by zero, if there are
-// no quotas, if there is one balancer, or if the balancer's number is outside the fleet.
+// no quotas, if there is one balancer, or if a balancer's number is not below the number of them.
 func TestWithoutUsableQuotas(t *testing.T) {
 	for _, c := range []struct {
 		instances, instance int
 		quota               float64
-	}{{1, 0, 0}, {1, 0, 5}, {80, 99, 5}, {3, 1, 0}} {
+	}{{1, 0, 0}, {1, 0, 5}, {80, 99, 5}, {3, 1, 0}} { // a quota of 0 means none
 		cfg := settings()
 		cfg.Instance, cfg.Instances = c.instance, c.instances
 		cfg.Tenants = []Tenant{{Name: "t", RateQuota: c.quota}}
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -23,7 +23,7 @@
 
 	observedSince  Time          // time of the first event; -1 before it
 	endRate        float64       // connections that ended by themselves, in mean connections per second
-	freshRequests  float64       // number of requests that are not retries, with exponential decay
+	freshRequests  float64       // fading sum (with exponential decay) of requests that are not retries
 	fadedAt        Time          // time up to which the decay of endRate and freshRequests is applied
 	retries        decay.Counter // number of retries, with time constant overloadWindow
 	departedWeight decay.Counter // weight of hosts that are no longer ready, over 2*overloadWindow
