--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// beginEvent sets the time of the current event. The first event starts the clocks of the decaying
-// counts and the timers of the periodic tasks.
+// beginEvent sets the time of the current event. The first event sets the time from which counts
+// decay, and starts the timers of the periodic tasks.
 func (b *Balancer) beginEvent(now Time) {
 	b.now = now
 	if b.traffic.observedSince >= 0 {
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -64,7 +64,7 @@
 type Config struct {
 	Instance, Instances int      // number of this balancer, from 0, and number of all balancers
 	Zone                string   // name of this balancer's zone
-	Zones               []string // names of all zones; ledger queries contain an index, so the order must be common
+	Zones               []string // all zones, in the same order at all balancers: ledger queries contain an index
 	Tick                Time     // shortest time between two batches of events, and shortest timer
 	Classes             []Class
 	Tenants             []Tenant
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -7,8 +7,8 @@
 	// pollSpacing is the mean time between two polls by any of the balancers while discovery fails.
 	// The capacity of discovery does not grow with the number of balancers.
 	pollSpacing = 5e7
-	// maxPollBackoff limits the exponential part of the delay, so that few balancers poll a second
-	// time before all balancers are expected to know of a change.
+	// maxPollBackoff limits the exponential part of the delay. If there are few balancers, each then
+	// has time for a second poll before all are expected to know of a change.
 	maxPollBackoff = 1.2e9
 	// maxPollDelay is the longest delay after a failed poll: a balancer is expected to know of a
 	// change after 6 s.
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -105,9 +105,9 @@
 	return suspended
 }
 
-// ListReceived applies an endpoint list, or records a failure of discovery if kind is ListFailed.
-// Lists have to arrive in the order of their versions. ListReceived then places the requests that
-// wait for a host.
+// ListReceived applies an endpoint list and then places the requests that wait for a host. If kind is
+// ListFailed, it only records a failure of discovery and schedules the next poll. Lists have to
+// arrive in the order of their versions.
 func (b *Balancer) ListReceived(now Time, kind ListChange, entries []ListedHost) {
 	b.beginEvent(now)
 	if kind == ListFailed {
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -24,14 +24,14 @@
 // pending queries. All balancers have the ledger servers in the same order, and query the first one
 // that replies.
 type Client struct {
-	servers     []int                    // numbers of the balancers that are ledger servers, in the order of preference
+	servers     []int                    // numbers of the balancers that are ledger servers, preferred first
 	current     int                      // index in servers of the current server, the one that is queried
 	misses      int                      // consecutive queries of the current server without a reply
 	pausedUntil Time                     // time before which there are no queries
 	pauses      int                      // consecutive pauses
 	polledAt    Time                     // when ServerToPoll last returned a server
-	reachable   bool                     // whether the current server has sent a message since it became current
-	epoch       byte                     // in the last message of the current server; another value after its restart
+	reachable   bool                     // the current server has sent a message since it became current
+	epoch       byte                     // in the last message of the current server; changes if it restarts
 	sequence    uint16                   // sequence number of the newest query
 	pending     map[uint16]*PendingQuery // by sequence number
 }
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -105,9 +105,9 @@
 }
 
 // addUnreportedLoad records load that no report of the host includes yet. turns is the load in mean
-// connections, negative if a connection has ended. The other balancers place requests by the same
-// reports, but it is unknown how many: each places between none and as many as this one. The load is
-// therefore multiplied by the square root of the number of balancers.
+// connections, negative if a connection has ended. Each of the other balancers may place between
+// none and as many connections as this one by the same reports. The load is therefore multiplied by
+// the square root of the number of balancers.
 func (b *Balancer) addUnreportedLoad(h *host, turns float64) {
 	h.loadEstimate.AddLoad(b.now, turns*math.Sqrt(float64(b.cfg.Instances)))
 }
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -73,8 +73,8 @@
 }
 
 // AttemptEnded handles the end of an attempt or of its open connection. After an attempt that set up
-// no connection, it places the request again, or rejects it if the status is TooLate. It does
-// neither if the request has its final answer or its client has left. AttemptEnded ignores an
+// no connection, it places the request again, or gives the final answer if the status is TooLate. It
+// does neither if the request has its final answer or its client has left. AttemptEnded ignores an
 // attempt that is not the request's newest, or that has ended already.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
 	b.beginEvent(now)
@@ -129,8 +129,8 @@
 }
 
 // setupEnded updates the state of ejection, retry storm detection, set-up times and error scores
-// after an attempt that ended without an established connection. OK means here that the host
-// answered and closed at once. Cancelled and TooLate have no effect.
+// after an attempt that ended without an established connection. OK counts as an acceptance by the
+// host. Cancelled and TooLate have no effect.
 func (b *Balancer) setupEnded(r *request, status AttemptStatus, elapsed Time) {
 	h := r.host
 	switch status {
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -11,8 +11,8 @@
 //     is rejected.                                                        place
 //  5. Idempotency: a request that may have run and must not run twice
 //     is rejected.                                                        retryForbidden
-//  6. Retry storm: if most recent attempts fail, the attempt is delayed
-//     in the queue.                                                       waitsForRetryStorm
+//  6. Retry storm: if most recent attempts fail, or several requests in
+//     a row at the first attempt, the attempt is delayed in the queue.    waitsForRetryStorm
 //  7. Placement ledger: the ledger server, a balancer that counts the
 //     connections of all, is queried for a host. The first attempt of a
 //     request with a group is queued until the reply arrives or times out. queryLedger
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -6,7 +6,7 @@
 	Class        int     `json:"Class"`    // index in Config.Classes
 	Tenant       int     `json:"Tenant"`   // index in Config.Tenants; -1 if none
 	Key          string  `json:"Key"`      // idempotency key; "" if none
-	Group        string  `json:"Group"`    // requests whose connections cost less together on one host; "" if none
+	Group        string  `json:"Group"`    // name of requests whose connections cost less together on one host; "" if none
 	ExpectedLoad float64 `json:"Hint"`     // work per second on a standard core, in nanoseconds; 0 if unknown
 	Retry        bool    `json:"Repeat"`   // its client marked it as a retry
 	MidFlow      bool    `json:"MidFlow"`  // it consists of packets of a connection that a host already holds
@@ -106,7 +106,7 @@
 	wait                  queueEntry
 	ledger                ledgerQuery
 	shedUnlessWarmingHost bool    // load shedding rejects it unless a host in slow start may take it
-	similarPerSecond      float64 // fresh requests or retries, as it is one, per second at all balancers
+	similarPerSecond      float64 // rate at all balancers of requests of its kind: retries or fresh ones
 }
 
 // isRetry reports whether a request may be part of a wave of clients that come back together.
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -91,7 +91,7 @@
 		if b.fullCapacityShare(h) < 1 {
 			// The slow start budget of a warming host decides when it is picked, not its deficit. By
 			// their deficits, all new hosts would have the same place in the rotation of every
-			// balancer, and at balancers with little traffic half of the hosts would come first.
+			// balancer, and would wait for half of a round, which takes long if traffic is sparse.
 			h.deficit = maxDeficit
 		}
 		slack, capacity := b.tieBreakParams(p, c, maxWeight)
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -93,8 +93,8 @@
 	b.shedding.update(own, other, float64(b.updateInterval())/1e9)
 }
 
-// shouldShed reports whether load shedding rejects a request that no host in slow start may take. It
-// uses the random number generator only while load is shed.
+// shouldShed reports whether load shedding marks a request, which is then rejected unless a host in
+// slow start may take it. It uses the random number generator only while load is shed.
 func (b *Balancer) shouldShed(r *request) bool {
 	return b.shedding.share > 0 && b.priorityRank(r) < b.shedding.share
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -19,8 +19,8 @@
 const (
 	lotteryFreshShare = 0.85 // to fresh requests, those that are no retries
 	lotteryRetryShare = 0.5  // to retries, many of which come at the same time
-	// lotteryOtherZoneFactor multiplies the fraction for hosts in other zones. 2 minus it does so for
-	// hosts in the balancer's own zone. There are no factors if there is only one zone.
+	// lotteryOtherZoneFactor multiplies the fraction for hosts in other zones. The factor for hosts in
+	// the balancer's own zone is 2 - lotteryOtherZoneFactor. If there is only one zone, it is 1.
 	lotteryOtherZoneFactor = 0.75
 )
 
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -12,12 +12,12 @@
 // Snapshot is the state, besides the endpoint list, that a process of a balancer passes on to the
 // next one. It contains observations with their times, so that they age as usual.
 type Snapshot struct {
-	Started   Time           `json:"Started"`   // traffic.observedSince
-	RateAt    Time           `json:"RateAt"`    // traffic.fadedAt
-	Rate      float64        `json:"Rate"`      // traffic.endRate
-	Fresh     float64        `json:"Fresh"`     // traffic.freshRequests
-	MeanCost  float64        `json:"MeanCost"`  // connectionCosts.mean
-	ClassCost []float64      `json:"ClassCost"` // connectionCosts.byClass
+	Started   Time           `json:"Started"`   // first event of the first process (traffic.observedSince)
+	RateAt    Time           `json:"RateAt"`    // time of Rate and Fresh (traffic.fadedAt)
+	Rate      float64        `json:"Rate"`      // connections that end, per second (traffic.endRate)
+	Fresh     float64        `json:"Fresh"`     // fading sum of requests (traffic.freshRequests)
+	MeanCost  float64        `json:"MeanCost"`  // cost of a mean connection (connectionCosts.mean)
+	ClassCost []float64      `json:"ClassCost"` // the same for each class (connectionCosts.byClass)
 	Servers   []HostSnapshot `json:"Servers"`   // the hosts
 }
 
@@ -26,7 +26,7 @@
 	ID       string  `json:"ID"`
 	Since    Time    `json:"Since"`    // its latest start
 	Fails    int     `json:"Fails"`    // consecutiveFailures of its ejection
-	Until    Time    `json:"Until"`    // end of its ejection; 0 if it is not ejected
+	Until    Time    `json:"Until"`    // end of its last ejection; 0 if there was none
 	FailedAt Time    `json:"FailedAt"` // time of the last counted failure
 	Ill      float64 `json:"Ill"`      // error score as of IllAt, 0 (no errors) to 1
 	Delay    float64 `json:"Delay"`    // message delay as of DelayAt, in shortest message latency objectives
