--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -36,8 +36,9 @@
 }
 
 // delayAfterFailure returns the time from a failed poll to the next one, before jitter, in
-// nanoseconds. instances is the number of balancers. The delay is at most maxPollDelay and half of
-// pollInterval, so that the balancer learns of a draining host in time.
+// nanoseconds. instances is the number of balancers. The delay doubles with each failure, from an
+// eighth of its limit. The limit is the lesser of maxPollDelay and half of pollInterval, so that the
+// balancer learns of a draining host in time.
 func (d *discoveryPoller) delayAfterFailure(pollInterval Time, instances int) float64 {
 	limit := min(float64(pollInterval)/2, maxPollDelay)
 	backoff := min(maxPollBackoff, limit/8*math.Pow(2, float64(min(d.failures, 8)-1)))
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -29,7 +29,7 @@
 		Instances: 1, Zone: "east", Zones: []string{"east"}, Tick: 5 * ms, MaxAttempts: 3,
 		Classes:         []balancer.Class{{Name: "feed", LatencyObjective: 300 * ms, Deadline: 2000 * ms}},
 		EjectionInitial: -1, EjectionMax: -1, // derived from the deadlines
-	}, 1, core{})
+	}, 1, core{}) // 1 is the seed of the random numbers
 	if err != nil {
 		panic(err)
 	}
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -5,14 +5,13 @@
 // host is the state of an upstream host at one balancer. Each rule keeps its state in a field of
 // its own.
 type host struct {
-	hostID    string
-	hash      uint64  // of hostID
-	zone      int     // index in endpointList.zones
-	cell      int     // number of its cell, for ScopeCell
-	weight    float64 // capacity relative to other hosts, above 0
-	startedAt Time    // its latest start; 0 if it was long ago
-	state     HostState
-	listed    bool // whether the last complete list, or a change since then, names it
+	hostID     string
+	hash       uint64  // of hostID
+	zone, cell int     // index of its zone in endpointList.zones, and number of its cell
+	weight     float64 // capacity relative to other hosts, above 0
+	startedAt  Time    // its latest start; 0 if it was long ago
+	state      HostState
+	listed     bool // whether the last complete list, or a change since then, names it
 
 	connections []*request // open connections that this balancer placed or adopted
 	load        float64    // of connections, in the unit of Request.ExpectedLoad
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -69,9 +69,9 @@
 // Entries are changes of the loads that their sender holds. A message has 1 to MaxEntries of them.
 type Entries []Entry
 
-// Sync reports the loads of all connections that its sender holds, and replaces everything that the
-// sender reported before. Entries that do not fit may follow in separate messages. An empty Sync is
-// valid.
+// Sync reports the loads of all connections with a group that its sender holds, and replaces
+// everything that the sender reported before. Entries that do not fit may follow in separate
+// messages. An empty Sync is valid.
 type Sync struct{ Entries Entries }
 
 // Announcement reports that its sender is a ledger server. Epoch identifies the sender's process: a
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -81,7 +81,7 @@
 			capacity += h.weight * b.fullCapacityShare(h)
 		}
 	}
-	return load / max(capacity, 1e-9)
+	return load / max(capacity, 1e-9) // without capacity, not a division by zero
 }
 
 // assignCost returns the cost of assigning a request to a host: its load with the request, relative
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -58,7 +58,8 @@
 		}
 		check := &h.healthCheck
 		if h.state == Ready && !check.inFlight && b.now-check.startedAt >= due && b.now >= h.ejection.until {
-			// Without jitter the checks of all balancers would reach a host together.
+			// Without jitter, of up to a fifth of the interval, the checks of all balancers would reach a
+			// host together.
 			jitter := Time(float64(interval) * 0.2 * b.rng.Float64())
 			check.inFlight, check.startedAt = true, b.now-jitter
 			b.effects.HealthCheck(h.hostID)
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -211,8 +211,9 @@
 		load = c.load + (p.turns+groupCost/b.costs.unit())/b.fleetLoad.full
 	}
 	if c.wonLottery {
-		// A winner of the lottery comes before all other candidates. Winners are ordered by load and
-		// then by a hash of the request and the host.
+		// A winner of the lottery comes before all other candidates, since its load is negative. Winners
+		// are ordered by load and, at loads that differ by less than about 0.001, by a hash of the
+		// request and the host.
 		load = -1 / (1 + load + float64(stableHash(p.request.ID+c.host.hostID)%1024)/1e6)
 	}
 	return load
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -134,7 +134,7 @@
 		rate = b.slowStartShare(h) * max(estimateRate(t.freshRequests, t.window(b.now), 0), establishedRate)
 	}
 	chance := share * unused * rate * float64(b.cfg.Instances) / r.similarPerSecond
-	const resolution = 1 << 20
+	const resolution = 1 << 20 // number of hash values by which chances are distinguished
 	return float64(rendezvous.Hash(r.ID+h.hostID)%resolution) < chance*resolution
 }
 
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -114,7 +114,8 @@
 }
 
 // estimateRate estimates a rate per second from n events in the given number of seconds and from
-// the rate that was expected before any event. An expected rate of 0 means unknown.
+// the rate that was expected before any event: as if one more event had come, in the mean time
+// between two events at the expected rate. An expected rate of 0 means unknown.
 func estimateRate(n, seconds, expected float64) float64 {
 	if expected <= 0 {
 		return (n + 1) / seconds
