--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestEjectionDoublesAndEnds checks the duration of ejections, that an ejected host gets no requests,
+// and that after the ejection one attempt at a time (a trial) shows whether the host has recovered.
 func TestEjectionDoublesAndEnds(t *testing.T) {
 	cfg := settings()
 	cfg.EjectionInitial, cfg.EjectionMax = 10*sec, 40*sec
@@ -53,9 +55,9 @@
 	for _, c := range []struct {
 		name     string
 		status   AttemptStatus
-		disabled bool
-		failures int
-		avoided  bool // by the requests that follow
+		disabled bool // settings with EjectionInitial and EjectionMax of 0
+		failures int  // consecutive failures that are counted for the host
+		avoided  bool // the requests that follow go to other hosts
 	}{
 		{"a failed connect ejects", ConnectFailed, false, 1, true},
 		{"a full host is avoided without ejection", Full, false, 0, true},
@@ -85,6 +87,7 @@
 	}
 }
 
+// TestEmptyPoolFallsBackToAll checks that requests go to ejected hosts if all ready hosts are ejected.
 func TestEmptyPoolFallsBackToAll(t *testing.T) {
 	f := start(t, settings(), append(fleet(3), listed("draining", Draining))...)
 	ejectAll := func() {
--- a/internal/balancer/rotation_test.go
+++ b/internal/balancer/rotation_test.go
@@ -30,6 +30,7 @@
 	}
 }
 
+// TestBalancersStartApart checks that the rotation of each of 8 balancers begins with another host.
 func TestBalancersStartApart(t *testing.T) {
 	first := map[string]bool{}
 	for instance := range 8 {
@@ -43,6 +44,8 @@
 	}
 }
 
+// TestSparseBalancersSpreadOverUnequalHosts checks that balancers with few connections each do not all
+// begin with the hosts of the largest weight.
 func TestSparseBalancersSpreadOverUnequalHosts(t *testing.T) {
 	hosts := fleet(20)
 	for i := range hosts {
@@ -66,6 +69,8 @@
 	}
 }
 
+// TestTurnsCrossZonesWhileOwnZoneStalls checks that hosts of another zone get more requests while the
+// hosts of the balancer's own zone delay messages, although a connection to another zone has a price.
 func TestTurnsCrossZonesWhileOwnZoneStalls(t *testing.T) {
 	cfg := settings()
 	cfg.Prices.CrossZone = 0.1
@@ -74,7 +79,8 @@
 		hosts[i].Zone = []string{"a", "b"}[i%2]
 	}
 	f := start(t, cfg, hosts...)
-	// crossings places 40 requests and counts those at hosts of the other zone.
+	// crossings places 40 requests, with IDs that begin with prefix, and returns the number of those
+	// at hosts of the other zone.
 	crossings := func(prefix string) (n int) {
 		for i := range 40 {
 			f.request(fmt.Sprint(prefix, i))
--- a/internal/balancer/shedding_test.go
+++ b/internal/balancer/shedding_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestLowestPriorityIsShedFirst checks that load shedding, while all hosts are stalled (they delay
+// messages), rejects requests of the class with the lower priority weight first.
 func TestLowestPriorityIsShedFirst(t *testing.T) {
 	cfg := settings()
 	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
@@ -44,6 +46,8 @@
 	}
 }
 
+// TestStalledHostLosesTurnsAndConnections checks that connections migrate off a host that delays
+// messages, and that few new ones go there.
 func TestStalledHostLosesTurnsAndConnections(t *testing.T) {
 	f := start(t, settings(), fleet(5)...)
 	atStalled := []string{}
