--- a/internal/app/node/discovery.go
+++ b/internal/app/node/discovery.go
@@ -5,8 +5,9 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// listReceived applies a watch event. A new process that waits for its own list begins to take
-// over. An old process sends its list to the new one.
+// listReceived applies a watch event, which is an endpoint list from discovery or the failure to
+// receive one. After a list, in a hot restart, a new process that waits for its own list begins to
+// take over, and an old process sends the list to the new one unless it has no hosts.
 func (p *process) listReceived(event proxy.WatchEvent) {
 	p.core.ListReceived(event)
 	if event.Kind == balancer.ListFailed {
@@ -14,13 +15,13 @@
 	}
 	p.becomeTakingOver()
 	if p.restart.partner != nil && p.restart.isOld && len(event.Hosts) > 0 {
-		// Sent at once: this process may end before the new one has its own list.
+		// This process may end before the new one has its own list.
 		s := p.snapshot(false)
 		p.restart.partner.SendListChanged(&proxy.Snapshot{WrittenAt: s.WrittenAt, Discovery: s.Discovery, Revision: s.Revision, Hosts: s.Hosts})
 	}
 }
 
-// redirect changes the address of the discovery service. It may be called from any goroutine.
+// redirect sets the address (host:port) of the discovery service. It may be called from any goroutine.
 func (p *process) redirect(discovery string) {
 	p.loop.Post(func() { p.discovery.Redirect(discovery) })
 }
--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -10,20 +10,21 @@
 	"croftlock/internal/operations/settings"
 )
 
-// rejoinInterval is the delay before rejoinFleet retries.
+// rejoinInterval is the time until rejoinFleet is called again after the member agent failed to start.
 const rejoinInterval = 250 * time.Millisecond
 
-// fleet holds the settings file's options for the fleet and the agents that use them.
+// fleet holds the settings file's options for the fleet, which are the proxies that cooperate, and
+// the agents that use the options.
 type fleet struct {
 	memberOptions    memberagent.Options
 	ownerOptions     owneragent.Options
 	watermarkOptions watermark.Options
 
-	// Each is nil if it is disabled, or not started yet because another process of this proxy
-	// serves.
-	members    *memberagent.Agent
-	owners     *owneragent.Agent
-	watermarks *watermark.Link
+	// Each agent is nil if it is disabled, or not started yet because another process of this
+	// proxy serves.
+	members    *memberagent.Agent // takes part in membership
+	owners     *owneragent.Agent  // takes part in dividing jobs among members
+	watermarks *watermark.Link    // exchanges revisions of endpoint lists with other members
 }
 
 // newFleet returns the options of a settings file, without agents.
@@ -31,7 +32,7 @@
 	return fleet{memberOptions: membershipOptions(file), ownerOptions: ownerOptions(file), watermarkOptions: watermarkOptions(file)}
 }
 
-// joinFleet starts the agents that the settings file enables.
+// joinFleet starts the agents that the settings file enables. An error must end the process's start.
 func (p *process) joinFleet() (err error) {
 	if p.fleet.memberOptions.Enabled {
 		p.fleet.members, err = p.startMembers()
@@ -43,9 +44,11 @@
 	return p.startOwners()
 }
 
-// rejoinFleet joins the fleet after this process has taken over from another one, or taken back. To
-// other proxies it is the same member with a new incarnation. It retries, since the other process
-// may hold the address a moment longer.
+// rejoinFleet restarts the agents after this process has taken over from another one, or serves
+// again because its successor ended. Other proxies consider it the same member with a new
+// incarnation. If the member agent does not start, rejoinFleet is called again after rejoinInterval,
+// since the other process may still hold the address. Nothing happens if membership is disabled or
+// this process has handed over.
 func (p *process) rejoinFleet() {
 	if !p.fleet.memberOptions.Enabled || p.restart.phase == handedOver {
 		return
@@ -65,13 +68,15 @@
 	}
 }
 
-// startMembers starts the member agent. The incarnation starts at the current time.
+// startMembers starts the member agent. Its incarnation, which orders the starts of one member, is
+// derived from the current time.
 func (p *process) startMembers() (*memberagent.Agent, error) {
 	platform := memberagent.Platform{Link: p.peers, ProxyCount: len(p.cfg.Peers.Peers), OwnNumber: p.cfg.Settings.Instance}
 	return memberagent.Start(p.loop, p.fleet.memberOptions, p.cfg.Name, time.Now(), platform)
 }
 
-// startOwners starts the owner agent, if it is enabled, and connects it to the core. Membership
+// startOwners starts the owner agent, if it is enabled, and connects it to the core: for
+// suspensions of hosts, and depending on the settings for migrations, quotas and rules. Membership
 // must be enabled.
 func (p *process) startOwners() error {
 	f := &p.fleet
@@ -93,7 +98,8 @@
 	return nil
 }
 
-// announceLeave releases this process's jobs and then announces its shutdown to the other members.
+// announceLeave releases the fleet's jobs that this process owns, and then announces its shutdown to
+// the other members.
 func (p *process) announceLeave() {
 	p.fleet.owners.Leave(func() { p.fleet.members.Leave() })
 }
--- a/internal/app/node/layers_test.go
+++ b/internal/app/node/layers_test.go
@@ -12,8 +12,9 @@
 	"testing"
 )
 
-// layers lists the packages of this module from the bottom layer to the top one. A package may
-// import from its own layer and from those below it.
+// layers lists the packages of this module from the bottom layer to the top one. Names are paths
+// below internal, or below the module's root for cmd. A package may import from its own layer and
+// from those below it.
 var layers = []struct {
 	name     string
 	packages []string
@@ -40,7 +41,8 @@
 	return (first == "net" || first == "os") && path != "net/netip"
 }
 
-// importsOf returns the imports of the Go files in dir, except test files.
+// importsOf returns the import paths of the Go files in dir, except test files. A path that several
+// files import is returned several times.
 func importsOf(t *testing.T, dir string) (imports []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -90,7 +92,7 @@
 // below, and that packages of decisionLayer import no package that does I/O.
 func TestLayers(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
-	level := map[string]int{}
+	level := map[string]int{} // index in layers, by package
 	for i, l := range layers {
 		for _, p := range l.packages {
 			level[p] = i
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -1,15 +1,17 @@
 // Package node assembles the parts of one proxy process. It makes no decisions on requests.
 //
-// Run attaches the loop and calls process.start, which creates the core (makeCore), receives or
-// reads the state of the previous process (findPredecessor), starts the core with an endpoint list
-// (runCore), opens the sockets for other proxies, clients and operators, and serves. It then logs
-// event=ready. A process that takes over from another one accepts clients, and is ready according
-// to /v1/readyz, only later (beginTakeover).
+// A process has one event loop and one proxy core (package proxy), which relays the connections of
+// clients to upstream hosts. process.start creates the core, obtains the state of the process that
+// served before this one, starts the core with an endpoint list, opens the sockets for other
+// proxies, clients and operators, and serves. It then logs event=ready. In a hot restart, in which a
+// new process replaces an old one, the new one accepts clients, and is ready according to
+// /v1/readyz, only after it has taken over (beginTakeover).
 //
-// signals.go handles SIGHUP and SIGTERM, and fleet.go starts membership and the fleet's jobs. A hot
-// restart is in four files: restart.go has the phases of both processes, predecessor.go the
-// requests of a new process, partner.go the messages of the other process, and successor.go the
-// calls of the core.
+// signals.go handles SIGHUP and SIGTERM. fleet.go starts membership and the jobs that the proxies
+// divide among themselves. Four files implement a hot restart: restart.go defines the phases of the
+// old and the new process, predecessor.go contains what a new process requests of the old one,
+// partner.go handles messages from the other process, and successor.go implements the methods that
+// the core calls.
 package node
 
 import (
@@ -39,14 +41,14 @@
 // runs, unless their comment allows any goroutine.
 type process struct {
 	cfg       *platform.Config
-	loop      *netio.Loop
-	dialer    *netio.Dialer
+	loop      *netio.Loop         // the event loop
+	dialer    *netio.Dialer       // opens the TCP connections to upstream hosts and discovery
 	tlsDialer *upstreamtls.Dialer // nil if connections to upstream hosts do not use TLS
 	core      *proxy.Core
 	discovery *cluster.Client
 	listener  *netio.Listener
-	front     *lineproto.Front
-	peers     *peers.Link // nil if no socket for peer datagrams is open
+	front     *lineproto.Front // serves clients on listener
+	peers     *peers.Link      // nil if no socket for peer datagrams is open
 	restart   restart
 	fleet     fleet
 }
@@ -73,8 +75,9 @@
 	return nil
 }
 
-// start makes the process ready. Accepting clients is its last step, because a client, or a PING to
-// the front, must find the proxy ready.
+// start makes the process ready. Without an old process, start accepts clients as its last step,
+// because a client's request, or a PING line on its connection, must find the proxy ready.
+// Otherwise the process accepts clients only after it has taken over (beginTakeover).
 func (p *process) start(file *settings.File) error {
 	maxDownstreams, err := p.makeCore(tlsOptions(file))
 	if err != nil {
@@ -89,7 +92,7 @@
 		return err
 	}
 	p.openPeers(handoff.DatagramFD)
-	if old == nil { // an old process remains the member until this one has taken over
+	if old == nil { // an old process remains the fleet's member for this proxy until the takeover
 		if err := p.joinFleet(); err != nil {
 			return err
 		}
@@ -109,8 +112,8 @@
 	return nil
 }
 
-// makeCore creates the core and its connector to upstream hosts. maxDownstreams is the greatest
-// number of downstreams that the core accepts.
+// makeCore creates the core and its connector to upstream hosts. It returns the maximum number of
+// downstreams, which are connections of clients, that the core accepts.
 func (p *process) makeCore(tls upstreamtls.Options) (maxDownstreams int, err error) {
 	cfg := p.cfg
 	options := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, WallClock: func() time.Time { return netio.WallClock() }}
@@ -122,11 +125,11 @@
 		}
 		opener = tlsOpener(p.tlsDialer)
 		options.Expiry = tls.Expiry
-		// A handshake in progress holds a descriptor, and a second one while its socket is passed
-		// on.
+		// Reserves descriptors for handshakes: each holds one, and a second one while its socket
+		// is passed to the loop. Two descriptors are one downstream less.
 		options.MaxDownstreams = max(1, options.MaxDownstreams-tls.Handshakes.MaxInFlight)
 	}
-	var reportsInAnswers []string
+	var reportsInAnswers []string // fields of load reports in hosts' answers; nil reads no reports there
 	if cfg.ReportsInAnswers {
 		reportsInAnswers = cfg.ReportFields
 	}
@@ -138,11 +141,14 @@
 }
 
 // findPredecessor requests a handover from the process that serves. If none hands over, it reads
-// the state that an earlier process stored. It restores the suspensions of that state in the core.
-// old is nil if no process hands over; handoff is not nil if err is nil.
+// the state that an earlier process stored. findPredecessor restores that state's suspensions of
+// hosts by operators in the core. If hot restarts are possible, it also creates the store for this
+// process's own state. old is nil if no process hands over; handoff, which holds the state and the
+// sockets handed over, is not nil if err is nil.
 func (p *process) findPredecessor() (old *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
-	// Without an admin interface the platform cannot ask whether a new process is ready, and never
-	// replaces a process.
+	// TMPDIR is the private directory that the processes of this proxy share; an empty one disables
+	// hot restarts. Without an admin interface the platform cannot ask whether a new process is
+	// ready, and never replaces a process.
 	if p.cfg.Admin != "" {
 		p.restart.dir = os.Getenv("TMPDIR")
 	}
@@ -160,8 +166,9 @@
 	return old, handoff, nil
 }
 
-// runCore starts the core with its decision module, the discovery client and an endpoint list,
-// which it returns.
+// runCore creates the discovery client and starts the core with it, with a balancer as decision
+// module, and with the newest known endpoint list. It returns that list. It then restores the
+// balancer's state from handoff.
 func (p *process) runCore(handoff *hotrestart.Handoff) (list proxy.WatchEvent, err error) {
 	cfg := p.cfg
 	list = knownList(cfg, handoff.Snapshot)
@@ -171,17 +178,18 @@
 		return list, err
 	}
 	if !cfg.Settings.PollsDiscovery {
-		// Lists are pushed to an agent that the platform runs beside the proxy, and the decision
-		// module does not poll.
+		// The decision module does not poll discovery. An agent that the platform runs beside the
+		// proxy is sent every new list, and the client receives the lists from it.
 		p.discovery.FollowAgent()
 	}
 	p.core.RestoreBalancer(handoff.Snapshot.Balancer)
 	return list, nil
 }
 
-// openPeers uses the socket fd for datagrams to the other proxies, which the old process handed
-// over, or opens a new one if fd is negative. A failure is only logged, because the proxy can serve
-// without that socket.
+// openPeers starts to exchange datagrams with the other proxies. fd is the socket that the old
+// process handed over; if it is negative, openPeers opens a new one. openPeers does nothing if the
+// platform forbids such datagrams, names no address for them or runs only one proxy. It only logs a
+// failure, because the proxy can serve without that socket.
 func (p *process) openPeers(fd int) {
 	s := p.cfg.Settings
 	if !s.MayGossip || p.cfg.Peers.Listen == "" || s.Instances <= 1 {
@@ -196,17 +204,19 @@
 	p.peers = link
 }
 
-// peerMessageReceived passes a datagram to membership, or to the decision module if membership does
-// not accept it.
+// peerMessageReceived passes a datagram of the proxy with number from to membership, or to the
+// decision module if the datagram is not one of membership's. Both use the same socket. A nil
+// members agent accepts no datagram.
 func (p *process) peerMessageReceived(from int, data []byte) {
 	if !p.fleet.members.ReceiveShared(from, data) {
 		p.core.PeerMessageReceived(from, data)
 	}
 }
 
-// listen creates the front for clients on the listening socket fd, which the old process handed
-// over, or on a new socket if fd is negative. If hot restarts are possible, the new socket shares
-// its address, so that a process to which this one cannot hand over can listen as well.
+// listen creates the front, which serves clients. fd is the listening socket that the old process
+// handed over; if it is negative, listen opens a new one. If hot restarts are possible, other
+// sockets may listen at the address of the new one too, so that a later process can start even if
+// this one fails to hand its socket over.
 func (p *process) listen(fd int) (err error) {
 	if fd >= 0 {
 		p.listener, err = netio.Inherit(fd)
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -9,9 +9,9 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// partnerEvents handles the messages of the other process of a hot restart. From a former partner
-// it accepts suspensions and connections, but ignores messages that would change the phase or the
-// list (isCurrent).
+// partnerEvents handles the messages of the partner, which is the other process in a hot restart.
+// Messages of a former partner may still arrive. Of these it applies suspensions and connections,
+// but ignores those that would change the phase, the endpoint list or the count of downstreams.
 type partnerEvents struct {
 	*process
 	partner *hotrestart.Partner
@@ -22,8 +22,8 @@
 // isCurrent reports whether the sender is the current partner.
 func (e partnerEvents) isCurrent() bool { return e.restart.partner == e.partner }
 
-// TakeOver makes this process, the old one, stop accepting clients. It returns the state for the
-// new one.
+// TakeOver makes this process, the old one, stop accepting clients, as the new one has asked. It
+// returns the state for the new one, to which this process yields its slow-start budgets.
 func (e partnerEvents) TakeOver() *proxy.Snapshot {
 	if e.isCurrent() && e.restart.isOld {
 		e.becomeHandedOver()
@@ -33,8 +33,8 @@
 	return s
 }
 
-// TakenOver makes this process, the new one, apply the old one's last state and serve. s is nil
-// if the old process sent no state.
+// TakenOver makes this process, the new one, apply the old one's last state s and serve. s is nil
+// if the old process sent no state. TakenOver does nothing if this process already serves.
 func (e partnerEvents) TakenOver(s *proxy.Snapshot) {
 	if !e.isCurrent() || e.restart.phase != awaitingList && e.restart.phase != takingOver {
 		return
@@ -45,8 +45,8 @@
 	e.becomeServing()
 }
 
-// applySnapshot restores the old process's list, suspensions and decision module state. It ignores
-// an invalid snapshot.
+// applySnapshot restores the old process's endpoint list, suspensions and decision module state
+// after converting their times to this process's clock. It ignores and logs an invalid snapshot.
 func (e partnerEvents) applySnapshot(s *proxy.Snapshot) {
 	s.Rebase(e.loop.Now(), true)
 	if err := s.Check(e.loop.Now()); err != nil {
@@ -58,8 +58,9 @@
 	e.core.RestoreBalancer(s.Balancer)
 }
 
-// ListChanged applies the old process's list if it is newer than this one's. Both processes are one
-// proxy, and this one may not watch discovery yet.
+// ListChanged applies the old process's endpoint list if it is newer than this process's. Both
+// processes are one proxy, and this one may not receive changes from discovery yet. It ignores and
+// logs an invalid snapshot.
 func (e partnerEvents) ListChanged(s *proxy.Snapshot) {
 	if !e.isCurrent() || e.restart.isOld {
 		return
@@ -71,8 +72,8 @@
 	e.applyList(s)
 }
 
-// applyList applies the list of s if it is of the same discovery service and newer than this
-// process's.
+// applyList applies the endpoint list of s if it has hosts, is from the same discovery service and
+// has a higher revision than this process's list.
 func (e partnerEvents) applyList(s *proxy.Snapshot) {
 	if len(s.Hosts) == 0 {
 		return
@@ -82,7 +83,8 @@
 	}
 }
 
-// HostSuspended applies a suspension, or its end, that an operator requested at the other process.
+// HostSuspended applies a suspension of the host id, or its end if suspended is false, that an
+// operator requested at the other process. If this process serves, it also stores the change.
 func (e partnerEvents) HostSuspended(id string, suspended bool) {
 	e.core.SetOtherProcessSuspension(id, suspended)
 	if e.restart.phase == serving {
@@ -93,16 +95,18 @@
 // ConnectionReceived resumes a connection that the old process has handed over.
 func (e partnerEvents) ConnectionReceived(s *proxy.HandedOverConnection) { e.front.Resume(s) }
 
-// DownstreamCount counts the old process's n downstreams against this one's limit. Every two of the
-// old process's other descriptors count as one downstream, which uses two descriptors.
+// DownstreamCount counts the old process's n downstreams against this one's limit, because both
+// processes share one limit of file descriptors. A downstream uses two descriptors, so every two of
+// the old process's other descriptors count as one downstream.
 func (e partnerEvents) DownstreamCount(n int) {
 	if e.isCurrent() && !e.restart.isOld {
 		e.core.SetOtherProcessDownstreams(n + e.cfg.HotRestartDescriptors()/2)
 	}
 }
 
-// Gone handles the end of the other process. This one continues alone, and serves if it did not
-// serve yet.
+// Gone handles the end of the other process. This one gets the whole memory limit again. A new
+// process serves if it did not serve yet; an old one that has handed over serves again, unless it is
+// shutting down.
 func (e partnerEvents) Gone() {
 	if !e.isCurrent() {
 		return
--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// listedHost returns the list entry of a host.
+// listedHost returns the list entry of a host with weight 1 at an address where nothing listens.
 func listedHost(id string, state balancer.HostState) proxy.HostEntry {
 	return proxy.HostEntry{Address: "127.0.0.1:1", ListedHost: balancer.ListedHost{ID: id, State: state, Weight: 1}}
 }
@@ -18,8 +18,8 @@
 // ownDiscovery is the discovery address of the process under test.
 const ownDiscovery = "127.0.0.1:2"
 
-// newProcessWithList returns a process whose list holds the ready hosts a and b, at revision 7 of
-// ownDiscovery.
+// newProcessWithList returns a process whose endpoint list holds the ready hosts a and b, at revision
+// 7 of ownDiscovery. Its loop does not run and it opens no sockets.
 func newProcessWithList(t *testing.T) *process {
 	t.Helper()
 	settings := balancer.Config{Instances: 1, Tick: 1e6, MaxAttempts: 5, Classes: []balancer.Class{{Name: "c", LatencyObjective: 1e9, Deadline: 2e9}}, SlowStartDuration: 1e9, SlowStartOverloadWindow: 1e9,
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// startRetryTime is how long a start retries while an address is in use or another hot restart
-	// is in progress. A new process must be ready within 6 s.
+	// startRetryTime limits the retries, one every startRetryInterval, of a start while an address
+	// is in use or another hot restart is in progress. The platform expects a new process to be
+	// ready within 6 s.
 	startRetryTime     = 5500 * time.Millisecond
 	startRetryInterval = 100 * time.Millisecond
-	// invalidAnswerRetryTime is how long a handover request is retried if it fails for a reason
-	// other than ErrBusy.
+	// invalidAnswerRetryTime limits the retries of a handover request that fails with another error
+	// than ErrBusy.
 	invalidAnswerRetryTime = 2 * time.Second
-	// maxStateReads is how many times a state file is read, at stateReadInterval, while the disk
-	// fails.
+	// maxStateReads is the maximum number of attempts, one every stateReadInterval, to read the
+	// state file while the disk fails.
 	maxStateReads     = 10
 	stateReadInterval = 100 * time.Millisecond
 )
 
-// retryStart calls attempt until it succeeds, returns an error that is not retryable, or
-// startRetryTime has passed. It returns the results of the last call.
+// retryStart calls attempt every startRetryInterval until attempt succeeds or returns an error for
+// which retryable is false, or until startRetryTime has passed. It returns the results of the last
+// call. It blocks meanwhile, so the loop must not run yet.
 func retryStart[T any](attempt func() (T, error), retryable func(error) bool) (T, error) {
 	for end := time.Now().Add(startRetryTime); ; time.Sleep(startRetryInterval) {
 		result, err := attempt()
@@ -37,10 +39,10 @@
 }
 
 // requestOrReadHandoff requests a handover from the process that serves. If none hands over, it
-// reads the state that an earlier process stored. partner is nil if no process hands over; handoff
-// is nil if there is no stored state either. An error must end the start: the serving process
+// reads the state that an earlier process stored in dir. partner is nil if no process hands over;
+// handoff is nil if there is no stored state either. The only error is ErrBusy: the serving process
 // rejects the handover because it already has a partner, is shutting down, or serves another
-// address.
+// address. The caller must then end this process. now is the loop's time in nanoseconds.
 func requestOrReadHandoff(cfg *platform.Config, dir string, now int64) (partner *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
 	partner, handoff, err = requestHandover(cfg, dir, now)
 	if errors.Is(err, hotrestart.ErrBusy) {
@@ -55,9 +57,10 @@
 	return nil, storedHandoff(dir, now), nil
 }
 
-// requestHandover requests a handover from the process that serves, and retries while that process
-// cannot answer. Without a handover this process would listen on a new socket, and the
-// clients in the old process's accept queue would be lost when that process ends.
+// requestHandover requests a handover from the process that serves. It retries for startRetryTime
+// while that process rejects the request, and for invalidAnswerRetryTime after other errors. Without
+// a handover this process would listen on a new socket, and the clients in the old process's accept
+// queue would be lost when that process ends. It returns nil without an error if no process serves.
 func requestHandover(cfg *platform.Config, dir string, now int64) (*hotrestart.Partner, *hotrestart.Handoff, error) {
 	type answer struct {
 		partner *hotrestart.Partner
@@ -73,8 +76,9 @@
 	return a.partner, a.handoff, err
 }
 
-// storedHandoff returns the state that an earlier process stored. It returns nil if there is no
-// usable state; a file that cannot be used is set aside.
+// storedHandoff returns the state that an earlier process stored in dir, as a handoff without
+// sockets. It returns nil if there is no usable state. It renames a file that cannot be used, so
+// that the file is not overwritten. now is the loop's time in nanoseconds.
 func storedHandoff(dir string, now int64) *hotrestart.Handoff {
 	snapshot, err := readState(dir, now)
 	if err != nil {
@@ -92,8 +96,9 @@
 	return &hotrestart.Handoff{Snapshot: snapshot, ListenerFD: -1, DatagramFD: -1}
 }
 
-// readState reads the state file. It retries while the disk fails, because the file holds the
-// operators' suspensions.
+// readState reads the state file in dir. It retries up to maxStateReads times while the disk fails,
+// because a start without the file would lose the operators' suspensions of hosts. It returns nil
+// without an error if there is no file.
 func readState(dir string, now int64) (s *proxy.Snapshot, err error) {
 	for range maxStateReads {
 		s, err = hotrestart.ReadState(dir, now)
@@ -105,9 +110,9 @@
 	return nil, err
 }
 
-// knownList returns the endpoint list to start with. It is the list of s, which was handed over or
-// stored by an earlier process, if it is of the same discovery service and newer than the
-// platform's list. Otherwise it is the platform's.
+// knownList returns the endpoint list to start with. This is the list of s, which an earlier process
+// handed over or stored, if that list is from the configured discovery service and newer than the
+// list in the platform's configuration. Otherwise it is the configuration's list.
 func knownList(cfg *platform.Config, s *proxy.Snapshot) proxy.WatchEvent {
 	if s.Discovery != cfg.Discovery || s.Revision <= cfg.CachedList.Version {
 		return cfg.CachedList
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// ownListWait is how long a new process waits for its own list from discovery. It then takes
-	// over with the old process's list.
+	// ownListWait is the maximum time that a new process waits for its own endpoint list from
+	// discovery. It then takes over with the old process's list.
 	ownListWait = 2500 * time.Millisecond
-	// takenOverWait is how long a new process waits for the old one's last snapshot before it
-	// serves.
+	// takenOverWait is the maximum time that a new process waits for the old one's last snapshot
+	// (its state) before it serves.
 	takenOverWait = 700 * time.Millisecond
 	// downstreamReportInterval is the interval at which an old process reports its number of
-	// downstreams.
+	// downstreams, the connections of its clients.
 	downstreamReportInterval = 250 * time.Millisecond
 )
 
@@ -41,9 +41,9 @@
 
 const (
 	serving      restartPhase = iota // this process accepts clients
-	awaitingList                     // the old process does; this one waits for its own list from discovery
-	takingOver                       // the old process does, until it answers this one's request to stop
-	handedOver                       // the new process does
+	awaitingList                     // the old process accepts clients; this one waits for its own list from discovery
+	takingOver                       // the old process accepts clients until it answers this one's request to stop
+	handedOver                       // the new process accepts clients
 )
 
 // String returns the phase's name.
@@ -61,21 +61,21 @@
 	return fmt.Sprintf("restartPhase(%d)", int(p))
 }
 
-// restart holds the state of a hot restart and the store for the next process.
+// restart holds the progress of a hot restart and the store, whose file the next process reads.
 type restart struct {
-	dir             string // the private directory; empty if hot restarts are disabled
-	store           *hotrestart.Store
-	endpoint        *hotrestart.Endpoint
-	listSavePending bool // the list has changed and will be stored
+	dir             string               // the private directory; empty if hot restarts are disabled
+	store           *hotrestart.Store    // nil if hot restarts are disabled
+	endpoint        *hotrestart.Endpoint // accepts handover requests; nil before this process serves
+	listSavePending bool                 // whether a timer will store a changed endpoint list
 
 	phase        restartPhase
 	partner      *hotrestart.Partner // the other process; nil if there is none
-	isOld        bool                // this process is the old one of the two
-	yieldedState balancer.Snapshot   // the decision module's state that the partner received when it took over
+	isOld        bool                // whether this process is the old one of the two; false if there is no partner
+	yieldedState balancer.Snapshot   // the decision module's state that the new process received when it took over
 }
 
-// serve starts accepting clients and the other proxies' datagrams, and offers a handover to the
-// next process.
+// serve starts accepting clients and the other proxies' datagrams. If hot restarts are enabled, it
+// offers a handover to the next process. It returns an error if clients cannot be accepted.
 func (p *process) serve() error {
 	if err := p.front.Serve(); err != nil {
 		return err
@@ -99,7 +99,8 @@
 	}
 }
 
-// offerHandover starts accepting handover requests of the next process.
+// offerHandover starts accepting handover requests of the next process. It replaces an earlier
+// offer. A failure is only logged, because this process can serve without the offer.
 func (p *process) offerHandover() {
 	if p.restart.endpoint != nil {
 		p.restart.endpoint.Close()
@@ -111,8 +112,9 @@
 	}
 }
 
-// handoffFor returns the handoff for a new process that will serve clients at listen. The text of
-// an error is sent to that process as the reason for the rejection.
+// handoffFor returns the handoff, which holds the state and the sockets, for a new process that will
+// serve clients at the address listen. If it returns an error, the request is rejected with the
+// error's text as reason.
 func (p *process) handoffFor(listen string) (*hotrestart.Handoff, error) {
 	switch {
 	case p.restart.partner != nil:
@@ -130,34 +132,36 @@
 	return h, nil
 }
 
-// newProcessConnected makes this process the old one of a hot restart.
+// newProcessConnected makes this process the old one of a hot restart, with partner as the new one.
 func (p *process) newProcessConnected(partner *hotrestart.Partner) {
 	p.restart.isOld = true
 	p.runPartner(partner)
 }
 
-// runPartner starts receiving the other process's messages, and halves this one's memory limit: the
-// two processes share the memory.
+// runPartner starts receiving messages of partner, the other process. It halves this process's
+// memory limit, because both processes share the proxy's memory. partnerEvents.Gone restores the
+// limit.
 func (p *process) runPartner(partner *hotrestart.Partner) {
 	p.restart.partner = partner
 	debug.SetMemoryLimit(p.cfg.MemoryLimit() / 2)
 	partner.Run(p.loop, partnerEvents{p, partner})
 }
 
-// beginTakeover prepares a new process to take over as soon as it has its own list from discovery,
-// or after ownListWait.
+// beginTakeover prepares this process, the new one, to take over from old as soon as it has its own
+// endpoint list from discovery, or after ownListWait.
 func (p *process) beginTakeover(old *hotrestart.Partner) {
 	p.restart.phase = awaitingList
 	p.core.SetHandedOver(true)
 	p.runPartner(old)
 	p.discovery.FetchList()
-	// Watches at once: the decision module would poll later, and meanwhile use hosts that drain.
+	// Watches the list now, because the decision module would poll only later and meanwhile assign
+	// requests to hosts that have begun to drain.
 	p.discovery.WatchList(true)
 	p.loop.After(ownListWait, p.becomeTakingOver)
 }
 
 // becomeTakingOver asks the old process to stop accepting clients. The old process accepts them
-// until it answers.
+// until it answers. becomeTakingOver does nothing unless the phase is awaitingList.
 func (p *process) becomeTakingOver() {
 	if p.restart.phase != awaitingList {
 		return
@@ -167,8 +171,9 @@
 	p.loop.After(takenOverWait, p.becomeServing)
 }
 
-// becomeServing makes a new process accept clients. It is called when the old process answers or
-// ends, or after takenOverWait.
+// becomeServing makes a new process accept clients, join the fleet and store its state. It is called
+// when the old process answers the request to stop or ends, or after takenOverWait. It does nothing
+// if this process already serves.
 func (p *process) becomeServing() {
 	if p.restart.phase != awaitingList && p.restart.phase != takingOver {
 		return
@@ -180,7 +185,8 @@
 	p.save(nil)
 }
 
-// becomeHandedOver makes an old process stop accepting clients.
+// becomeHandedOver makes an old process stop accepting clients and datagrams of other proxies, and
+// leave the fleet. From then on it reports its number of downstreams to the new process.
 func (p *process) becomeHandedOver() {
 	p.restart.phase = handedOver
 	p.fleet.owners.Leave(func() { p.fleet.members.Stop() })
@@ -193,18 +199,18 @@
 	p.reportDownstreams()
 }
 
-// takeBack makes an old process serve again after the new one has ended. Clients in the accept
-// queue belong to this process again.
+// takeBack makes an old process serve again after the new one has ended. This process then accepts
+// the clients that wait in the accept queue of the shared listening socket.
 func (p *process) takeBack() {
 	p.restart.phase = serving
-	p.core.RestoreBalancer(p.restart.yieldedState) // recovers the slow-start budgets that the new process had
+	p.core.RestoreBalancer(p.restart.yieldedState) // recovers the slow-start budgets yielded to the new process
 	p.mustServe()
 	p.rejoinFleet()
 	slog.Warn("hot_restart_taken_back", "downstreams", p.core.Downstreams())
 }
 
-// reportDownstreams sends the number of remaining downstreams to the new process periodically,
-// since the two processes share the file descriptors.
+// reportDownstreams sends the number of remaining downstreams to the new process now and every
+// downstreamReportInterval while that process runs, since both share one limit of file descriptors.
 func (p *process) reportDownstreams() {
 	if p.restart.partner != nil && p.restart.isOld {
 		p.restart.partner.SendDownstreamCount(p.core.Downstreams())
@@ -213,7 +219,8 @@
 }
 
 // snapshot returns the state for the next process. If yieldSlowStart is true, this process gives up
-// its slow-start budgets.
+// its slow-start budgets, the requests that it may still assign to hosts that have just started, so
+// that the two processes do not both use them.
 func (p *process) snapshot(yieldSlowStart bool) *proxy.Snapshot {
 	s := p.core.Snapshot(yieldSlowStart)
 	s.Discovery, s.Revision = p.discovery.Source()
--- a/internal/app/node/settings.go
+++ b/internal/app/node/settings.go
@@ -51,7 +51,8 @@
 	return faults
 }
 
-// checkTLS loads certificates and keys and validates them, if TLS is enabled.
+// checkTLS loads the certificate, key and trust files that o names and validates them, if TLS is
+// enabled.
 func checkTLS(o upstreamtls.Options) error {
 	if !o.Enabled {
 		return nil
@@ -69,8 +70,9 @@
 // stderr receives the log. Writing does not block if the reader of standard error stops reading.
 var stderr = logging.NewNonBlockingWriter(os.Stderr)
 
-// ConfigureLog configures the log by the settings file. format, the command line's, overrides the
-// file's format unless it is empty, also after a reload.
+// ConfigureLog sets the default logger as the settings file specifies. format is the log format
+// from the command line, which overrides the file's unless it is empty. ConfigureLog may be called
+// again after a reload of the file.
 func ConfigureLog(file *settings.File, format string) {
 	o := logOptions(file)
 	if format != "" {
--- a/internal/app/node/signals.go
+++ b/internal/app/node/signals.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Signals returns a channel with the signals that a proxy handles. It must be called first, because
-// a SIGHUP that arrives before the call ends the process.
+// Signals returns a channel that receives SIGTERM, SIGINT and SIGHUP. It must be called before
+// anything else that takes time, because a SIGHUP that arrives before the call ends the process.
 func Signals() <-chan os.Signal {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -24,15 +24,15 @@
 // SIGINT start the shutdown.
 type signalHandler struct {
 	cfg       *platform.Config
-	file      *settings.File      // the latest valid one; used only by the goroutine that reloads
-	format    string              // the log's format from the command line
-	tlsDialer *upstreamtls.Dialer // nil if connections to upstream hosts do not use TLS
-	redirect  func(discovery string)
-	shutDown  func()
+	file      *settings.File         // the latest valid settings file; used only by the goroutine that reloads
+	format    string                 // the log's format from the command line; empty if none was given
+	tlsDialer *upstreamtls.Dialer    // nil if connections to upstream hosts do not use TLS
+	redirect  func(discovery string) // sets the address of the discovery service
+	shutDown  func()                 // starts the graceful shutdown
 }
 
-// run handles signals until stopped is closed. It never blocks, so that a SIGTERM after a SIGHUP
-// is handled at once even if the disk with the files hangs.
+// run handles signals until stopped or signals is closed. It never waits for a reload, so that a
+// SIGTERM after a SIGHUP is handled at once even if the disk with the files hangs.
 func (h *signalHandler) run(signals <-chan os.Signal, stopped <-chan struct{}) {
 	reloads := make(chan struct{}, 1)
 	defer close(reloads)
@@ -66,8 +66,10 @@
 	}
 }
 
-// reload reads the settings file, which operators write, and the platform's configuration again. An
-// invalid file changes nothing and does not prevent the other from being applied.
+// reload reads the settings file, which operators write, the TLS files that it names, and the
+// platform's configuration again. An invalid file is logged and changes nothing; the others are
+// still applied. Of the platform's configuration only the discovery address takes effect now; the
+// log lists the changed parts that take effect at the next start.
 func (h *signalHandler) reload() {
 	h.reloadSettings()
 	if h.tlsDialer != nil {
@@ -83,8 +85,8 @@
 	h.redirect(next.Discovery)
 }
 
-// reloadSettings applies the settings file again. It keeps the previous settings if the file is
-// invalid.
+// reloadSettings reads the settings file again and applies its log options. It keeps the previous
+// settings if the file is invalid, and does nothing if the process has no settings file.
 func (h *signalHandler) reloadSettings() {
 	file, err := Schema().Load(h.file.Path)
 	if err != nil {
--- a/internal/app/node/successor.go
+++ b/internal/app/node/successor.go
@@ -7,26 +7,29 @@
 )
 
 const (
-	// saveTimeout is the maximum time that an operator's call waits for the disk.
+	// saveTimeout is the maximum time that an operator's request to suspend or resume a host waits
+	// for the disk.
 	saveTimeout = 400 * time.Millisecond
-	// listSaveDelay is the time from a change of the list until it is stored. Changes in that time
-	// are stored together.
+	// listSaveDelay is the time from a change of the endpoint list until the list is stored. Changes
+	// in that time are stored together.
 	listSaveDelay = time.Second
 )
 
 var _ proxy.Successor = (*process)(nil)
 
-// save stores the state for the next process and then calls done. done may be nil.
+// save stores the state for the next process without blocking. Unless done is nil, it is called on
+// the loop after the first attempt to write, even if that failed.
 func (p *process) save(done func()) { p.restart.store.Save(p.snapshot(false), done) }
 
-// HostSuspended stores a host's suspension, or its end, and sends it to the other process, if there
-// is one. It calls done once, after saveTimeout at the latest, even if the disk hangs.
+// HostSuspended stores the suspension of the host id, or its end if suspended is false, and sends it
+// to the other process of a hot restart, if there is one. It calls done once, after saveTimeout at
+// the latest, even if the disk hangs.
 func (p *process) HostSuspended(id string, suspended bool, done func()) {
 	if p.restart.partner != nil {
 		p.restart.partner.SendHostSuspended(id, suspended)
 	}
 	if p.restart.phase != serving {
-		done() // the other process writes the file, and has been sent the suspension
+		done() // the other process has been sent the suspension, and is the one that stores it
 		return
 	}
 	called := false
@@ -40,7 +43,7 @@
 	p.save(func() { timeout.Stop(); once() })
 }
 
-// ListChanged stores a changed list after listSaveDelay.
+// ListChanged stores the changed endpoint list after listSaveDelay, if this process serves.
 func (p *process) ListChanged() {
 	if p.restart.listSavePending || p.restart.phase != serving {
 		return
@@ -55,7 +58,8 @@
 }
 
 // HandOver hands a connection to the process that has taken over. Without such a process it sends
-// the migration line to the client and closes the connection.
+// migrationLine, which makes the client reconnect, and closes the connection. done is called on the
+// loop once this process no longer owns the connection.
 func (p *process) HandOver(s *proxy.HandedOverConnection, migrationLine []byte, done func()) {
 	if !p.AcceptsHandovers() {
 		s.Downstream.Discard(migrationLine)
--- a/internal/app/node/upstreamtls.go
+++ b/internal/app/node/upstreamtls.go
@@ -12,9 +12,9 @@
 	"croftlock/internal/dataplane/upstreamtls"
 )
 
-// newUpstreamTLS starts a TLS dialer for upstream hosts. It returns an error if a file cannot be
-// used. That ends the start, because a proxy that cannot connect to any host must not accept
-// clients.
+// newUpstreamTLS starts a TLS dialer for upstream hosts. It returns an error if a certificate, key or
+// trust file cannot be used. The process must then not start, because a proxy that cannot connect
+// to any host must not accept clients.
 func newUpstreamTLS(loop *netio.Loop, o upstreamtls.Options, wallClock func() time.Time) (*upstreamtls.Dialer, error) {
 	material, err := upstreamtls.Load(o, 1)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return dialer, nil
 }
 
-// tlsOpener returns an Opener that connects to upstream hosts with TLS.
+// tlsOpener returns an Opener, which is a function that connects to an upstream host, that uses TLS.
 func tlsOpener(dialer *upstreamtls.Dialer) lineproto.Opener {
 	return func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
 		done func(*netio.Conn, *netio.Error)) func() {
--- a/internal/app/node/watermarks.go
+++ b/internal/app/node/watermarks.go
@@ -13,7 +13,9 @@
 )
 
 // startWatermarks starts the exchange of watermarks with the other members and connects it to the
-// core. It does nothing if watermarks or membership are disabled.
+// core. A watermark tells members with an older endpoint list which hosts are draining or gone. A
+// previous exchange is closed. startWatermarks does nothing if watermarks are disabled or the member
+// agent does not run.
 func (p *process) startWatermarks() {
 	f := &p.fleet
 	if !f.watermarkOptions.Enabled || f.members == nil {
@@ -37,8 +39,9 @@
 	p.core.SetWatermarks(coreWatermarks{f.watermarks}, revision)
 }
 
-// watermarkSource returns an ID of the discovery service whose revisions the watermarks contain. It
-// is derived from the name in the settings, or from the discovery address if no name is set.
+// watermarkSource returns an ID of the discovery service whose list revisions the watermarks
+// contain. The ID is derived from the name in the settings, or from the discovery address if no name
+// is set.
 func (p *process) watermarkSource() uint32 {
 	name := p.fleet.watermarkOptions.Source
 	if addr, _ := p.discovery.Source(); name == "" {
@@ -47,17 +50,17 @@
 	return membership.ID(name)
 }
 
-// loopClock adapts the loop to a watermark link's clock.
+// loopClock adapts the event loop to the clock that a watermark link requires.
 type loopClock struct{ *netio.Loop }
 
 // After calls f on the loop after d.
 func (c loopClock) After(d time.Duration, f func()) { c.Loop.After(d, f) }
 
-// memberTransport sends watermarks between members.
+// memberTransport sends watermarks to other members through the member agent.
 type memberTransport struct{ *memberagent.Agent }
 
-// Others returns the IDs of the members that may be alive. A suspect, which does not answer, may
-// still receive.
+// Others returns the IDs of the members that may be alive. These include suspects: a suspect does not
+// answer, but may still receive.
 func (w memberTransport) Others() (out []uint32) {
 	for _, m := range w.View() {
 		if m.State == "alive" || m.State == "suspect" {
@@ -76,8 +79,8 @@
 // watermarkStates maps the states of hosts to the states in watermarks.
 var watermarkStates = map[balancer.HostState]watermark.State{balancer.Ready: watermark.Up, balancer.Draining: watermark.Draining, balancer.Removed: watermark.Gone}
 
-// ListUpdated passes a change of this process's list to the watermark link. It returns the hosts
-// for which a watermark takes effect or ceases to.
+// ListUpdated passes a change of this process's endpoint list to the watermark link. It returns the
+// IDs of the hosts for which a watermark begins or ceases to take effect.
 func (w coreWatermarks) ListUpdated(event proxy.WatchEvent) []string {
 	listed := make([]watermark.ListedHost, 0, len(event.Hosts))
 	for _, host := range event.Hosts {
@@ -86,6 +89,6 @@
 	return w.ReceiveList(event.Version, event.Kind == balancer.ListFull || event.Kind == balancer.ListCached, listed)
 }
 
-// Blocks reports whether other members' newer lists exclude the host id. ns is when the host
-// started, in Unix nanoseconds.
+// Blocks reports whether, according to other members' newer endpoint lists, the host id that started
+// at ns (Unix time in nanoseconds) must not receive requests.
 func (w coreWatermarks) Blocks(id string, ns balancer.Time) bool { return w.Link.Blocks(id, ns/1e6) }
