--- a/internal/app/command/attempts_test.go
+++ b/internal/app/command/attempts_test.go
@@ -14,8 +14,8 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// keyFile writes a new Ed25519 key and returns its path and its public key in the form that a grant
-// contains.
+// keyFile writes a new Ed25519 private key to a PEM file. It returns the file's path and the public
+// key in base64, as a grant of the rules names it.
 func keyFile(t *testing.T) (path, public string) {
 	t.Helper()
 	pub, key, err := ed25519.GenerateKey(nil)
@@ -38,16 +38,17 @@
 type attempt struct {
 	at            time.Time
 	account, host string
-	version       string
+	version       string // decimal; account and version are "" if no decision was logged before
 }
 
+// logField matches one key=value of a log line.
 var logField = regexp.MustCompile(`(\w+)=("[^"]*"|\S*)`)
 
 // attempts returns the attempts in a process's log. An attempt's account and version are those of
 // the request's last decision before it, which is made right before the connection is opened.
 func attempts(t *testing.T, p *experiment.Process) (all []attempt) {
 	t.Helper()
-	account, version := map[string]string{}, map[string]string{} // by request
+	account, version := map[string]string{}, map[string]string{} // by request ID
 	for _, line := range p.LogLines("event=") {
 		fields := map[string]string{}
 		for _, field := range logField.FindAllStringSubmatch(line, -1) {
@@ -64,8 +65,8 @@
 	return all
 }
 
-// reassignmentTimes returns when the last attempt at a host was made for the account from, and the
-// first one for the account to. A time is zero if there is no such attempt.
+// reassignmentTimes returns the time of the last attempt at a host for the account from, and that of
+// the first attempt there for the account to. A time is zero if there is no such attempt.
 func reassignmentTimes(all []attempt, host, from, to string) (last, first time.Time) {
 	for _, a := range all {
 		if a.host != host {
--- a/internal/app/command/certs.go
+++ b/internal/app/command/certs.go
@@ -15,8 +15,8 @@
 	"croftlock/internal/operations/settings"
 )
 
-// certCommands returns the commands that make, inspect and verify certificates, for installations
-// without a certificate service of their own.
+// certCommands returns the group of commands that make, inspect and verify certificates, for
+// installations without a certificate service of their own.
 func certCommands() *cobra.Command {
 	group := &cobra.Command{Use: "certs", Short: "Make and look into certificates"}
 	group.AddCommand(caCommand(), issueCommand(), inspectCommand(), verifyCommand())
@@ -27,8 +27,8 @@
 type newCertificate struct {
 	certPath, keyPath string // output files
 	passwordFile      string // path; if empty, the key is not encrypted
-	kind, lifetime    string // one of certs.KeyKinds; a time with its unit, such as 90d
-	force             bool   // replace existing files
+	kind, lifetime    string // the key's kind, one of certs.KeyKinds, and a time with its unit, such as 90d
+	force             bool   // whether to replace existing files
 }
 
 // addFlags adds the flags to cmd. By default the files are name.pem and name.key, and the
@@ -43,8 +43,10 @@
 	f.BoolVar(&n.force, "force", false, "replace files that exist")
 }
 
-// issue makes a certificate and its key and writes both. If issuer is nil, the certificate is
-// self-signed, as an authority's is.
+// issue makes a certificate and its key, writes both to the files and returns them. If issuer is nil,
+// the certificate is self-signed, as an authority's is. issue overwrites the key's kind and the
+// times in spec by the flags. The certificate is valid from a minute ago, for verifiers whose clock
+// is behind, and may not outlive its issuer.
 func (n *newCertificate) issue(issuer *certs.Pair, spec certs.Spec) (*certs.Pair, error) {
 	lifetime, ok := settings.ParseDuration(n.lifetime)
 	if !ok || lifetime <= 0 {
@@ -75,7 +77,8 @@
 	return pair, pair.Save(n.certPath, n.keyPath, password)
 }
 
-// password reads the password for the new key. It returns nil if the key is not to be encrypted.
+// password returns the password for the new key, from passwordFile without its line breaks at the
+// end. It returns nil if no file is named; the key is then not encrypted.
 func (n *newCertificate) password() ([]byte, error) {
 	if n.passwordFile == "" {
 		return nil, nil
@@ -165,7 +168,7 @@
 		}}
 }
 
-// loadBundle reads the certificates in a PEM file.
+// loadBundle reads the certificates in a PEM file, in their order. It returns at least one.
 func loadBundle(path string) ([]*x509.Certificate, error) {
 	data, err := certs.ReadFile(path)
 	if err != nil {
--- a/internal/app/command/clients_test.go
+++ b/internal/app/command/clients_test.go
@@ -13,10 +13,12 @@
 // asProgram is the environment that makes the test's own binary run as the program (TestMain).
 var asProgram = []string{"CROFTLOCK_TEST_RUN=1"}
 
-// sealKey is the key that seals the datagrams between the processes of a rig.
+// sealKey is the key with which the processes of a rig seal the datagrams that they send one another.
+// A rig is a set of proxy processes with hosts, started for one test.
 const sealKey = "0123456789abcdef0123456789abcdef"
 
-// newHosts starts upstream hosts in one zone, and a discovery service that lists them.
+// newHosts starts an upstream host for each ID, in one zone, and a discovery service that lists them.
+// The test's end closes all of them.
 func newHosts(t testing.TB, zone string, ids ...string) *fake.Hosts {
 	t.Helper()
 	hosts, err := fake.NewHosts(zone, ids...)
@@ -27,7 +29,8 @@
 	return hosts
 }
 
-// openClient opens a connection, which must be served. It is closed at the test's end.
+// openClient opens a connection at a proxy's address with a deadline of wait. It fails the test if
+// the connection is not established. The connection is closed at the test's end.
 func openClient(t testing.TB, proxy string, wait time.Duration) *fake.Client {
 	t.Helper()
 	client, answer, err := fake.Open(proxy, "lab", "", wait)
@@ -38,8 +41,8 @@
 	return client
 }
 
-// eventually waits until holds returns true. A failure message contains condition, which describes
-// it.
+// eventually waits until holds returns true, and fails the test after recoveryTimeout. condition
+// describes what holds checks, for the failure message.
 func eventually(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
 	if _, ok := experiment.AwaitCondition(recoveryTimeout, holds); !ok {
@@ -49,13 +52,14 @@
 
 // processLoop sends requests to every process of a rig until it is stopped.
 type processLoop struct {
-	paused   []atomic.Bool // by process; a paused one gets no requests and need not answer
+	paused   []atomic.Bool // by index of the process; a paused process gets no requests and need not answer
 	stopping atomic.Bool
 	workers  sync.WaitGroup
 }
 
-// start calls request repeatedly for every process, and waits for that process's interval after
-// each call. n counts the process's calls from 0. The test's end stops the loop.
+// start calls request repeatedly for every process, on one goroutine for each, and waits for that
+// process's interval after each call. process is an index into rig.Procs; n counts the process's
+// calls from 0. The test's end stops the loop.
 func (l *processLoop) start(t *testing.T, rig *experiment.Rig, interval func(process int) time.Duration, request func(process, n int)) {
 	t.Helper()
 	l.paused = make([]atomic.Bool, len(rig.Procs))
@@ -88,12 +92,13 @@
 // clientLoop repeatedly opens a connection at every process of a rig and closes it at once.
 type clientLoop struct {
 	processLoop
-	served     atomic.Int64
-	unanswered atomic.Int64
+	served     atomic.Int64 // connections established
+	unanswered atomic.Int64 // requests without any answer, at processes that were not paused
 }
 
-// startClientLoop starts one client for each process, which waits for interval after each request.
-// extra returns a text to add to the request line of a process's nth request.
+// startClientLoop starts one client for each process. Each client waits for interval after each
+// request. extra returns the fields to add to the request line of a process's request n, counted
+// from 0, or "" for none.
 func startClientLoop(t *testing.T, rig *experiment.Rig, interval time.Duration, extra func(n int) string) *clientLoop {
 	t.Helper()
 	loop := &clientLoop{}
@@ -103,8 +108,9 @@
 	return loop
 }
 
-// request sends one request and counts its outcome. A missing answer is not counted if the process
-// is paused by then.
+// request sends one request of the class lab, which every rig configures, with a deadline of 400 ms,
+// and counts its outcome. fake.Open waits for an answer until a second after the deadline. A missing
+// answer is not counted if the process is paused by then.
 func (l *clientLoop) request(proxy, extra string, paused *atomic.Bool) {
 	client, answer, _ := fake.Open(proxy, "lab", extra, 400*time.Millisecond)
 	if client != nil {
--- a/internal/app/command/command.go
+++ b/internal/app/command/command.go
@@ -61,14 +61,14 @@
 	return 0
 }
 
-// commands holds the environment and the flags that all commands share.
+// commands holds the environment and the values of the flags that all commands share.
 type commands struct {
-	env          func(string) string
-	settingsPath string // if empty, all settings have their defaults
-	logFormat    string // if empty, the settings file specifies the format
+	env          func(string) string // returns an environment variable, or "" if it is not set
+	settingsPath string              // if empty, all settings have their defaults
+	logFormat    string              // if empty, the settings file specifies the format
 }
 
-// serve runs the proxy until it has shut down.
+// serve runs the proxy until it has shut down after a signal.
 func (c *commands) serve(*cobra.Command, []string) error {
 	if c.logFormat != "" && !slices.Contains(logging.Formats, c.logFormat) {
 		return fmt.Errorf("--log-format %q: %s expected", c.logFormat, strings.Join(logging.Formats, " or "))
@@ -85,8 +85,9 @@
 	return node.Run(cfg, file, c.logFormat, signals)
 }
 
-// check prints every fault of the platform's configuration and of the settings file. It returns an
-// error if there is any.
+// check prints every fault of the platform's configuration, which NODE_CONFIG names, and of the
+// operators' settings file. It omits a file that is not named. It returns an error if there is any
+// fault, or if neither file is named.
 func (c *commands) check(cmd *cobra.Command, _ []string) error {
 	faults := 0
 	report := func(err error) {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// settingsCommand returns the commands that print or format the settings file.
+// settingsCommand returns the group of commands that print or format the settings file.
 func (c *commands) settingsCommand() *cobra.Command {
 	group := &cobra.Command{Use: "settings", Short: "Look at the operators' file"}
 	group.AddCommand(&cobra.Command{Use: "show", Args: cobra.NoArgs,
@@ -148,8 +149,9 @@
 	return group
 }
 
-// formatFile prints a settings file in its canonical form, or replaces the file if write is true. A
-// path of "-" reads standard input, and always prints.
+// formatFile prints a settings file in its canonical form, or replaces the file if write is true. If
+// path is "-", it reads standard input and prints, whatever write is. A file with a syntax error is
+// not changed.
 func formatFile(cmd *cobra.Command, path string, write bool) error {
 	var data []byte
 	var err error
--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -17,14 +17,16 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// fleetClient sends requests to a running proxy over the Unix sockets that the settings file names.
+// fleetClient sends requests about the fleet, which is all cooperating proxies, to one running proxy
+// over the Unix sockets that the settings file names.
 type fleetClient struct {
 	commands *commands
 	socket   string // overrides the settings file's socket unless empty
-	asJSON   bool   // print replies as JSON
+	asJSON   bool   // whether to print replies as JSON
 }
 
-// printReply prints a reply to w. A nil printReply stands for printing the answer as text.
+// printReply prints a reply of the owner agent, the part of a proxy that divides the fleet's jobs
+// among the proxies, to w. If a printReply is nil, the reply's Answer is printed as text.
 type printReply func(w io.Writer, r owneragent.Reply) error
 
 // fleetCommands returns the commands that query a running proxy about the fleet or change the
@@ -59,9 +61,9 @@
 	return path, nil
 }
 
-// send sends a request to the owner agent and prints the reply with show, or the answer as text if
-// show is nil. It returns an error if the reply contains one, and, without show, if the answer is
-// that the request was rejected or that its outcome is unknown. With --json it prints any reply and
+// send sends a request to the proxy's owner agent and prints the reply with show, or its Answer as
+// text if show is nil. It returns an error if the reply contains one. If show is nil, it also returns
+// errNotDone if the Answer starts with "refused" or "unknown". With --json it prints any reply and
 // returns no error for its content.
 func (f *fleetClient) send(cmd *cobra.Command, request owneragent.Request, show printReply) error {
 	socket, err := f.socketPath("owners")
@@ -120,7 +122,8 @@
 	return owners
 }
 
-// groupCommand returns the commands that print and change the replicated group.
+// groupCommand returns the commands that print and change the replicated group: the proxies that vote
+// on the owners of jobs, and those that are being added to them.
 func (f *fleetClient) groupCommand() *cobra.Command {
 	group := &cobra.Command{Use: "group", Short: "The voters that the owners rest on"}
 	group.AddCommand(&cobra.Command{Use: "status", Args: cobra.NoArgs, Short: "Tell how the group stands, as this proxy sees it", RunE: f.withoutArguments("status", printGroup)})
@@ -146,7 +149,8 @@
 	return fleet
 }
 
-// membersCommand returns the command that prints the members in the view of the replying proxy.
+// membersCommand returns the command that prints the fleet's members, which are its proxies, as the
+// replying proxy sees them.
 func (f *fleetClient) membersCommand() *cobra.Command {
 	return &cobra.Command{Use: "members", Args: cobra.NoArgs, Short: "Tell which proxies are there, as this one sees them",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -165,8 +169,8 @@
 		}}
 }
 
-// printOwners prints the owners of all jobs if the replying proxy has a replica, and otherwise the
-// proxy's own jobs, which are all that it knows.
+// printOwners prints the owners of all jobs if the replying proxy is a voter, which knows them.
+// Otherwise it prints the jobs that the replying proxy itself owns.
 func printOwners(w io.Writer, r owneragent.Reply) error {
 	fmt.Fprintf(w, "%s  coordinator %s  lease left %d ms\n", r.Name, orDash(r.Leader), r.LeaseMS)
 	if r.Store != "" {
@@ -188,7 +192,8 @@
 	return t.Flush()
 }
 
-// printGroup prints the replicated group in the view of the replying proxy.
+// printGroup prints the replicated group, which are the voters and learners, as the replying proxy
+// sees it.
 func printGroup(w io.Writer, r owneragent.Reply) error {
 	if r.Store != "" {
 		fmt.Fprintf(w, "%s: the store can't be used: %s\n", r.Name, r.Store)
--- a/internal/app/command/hotrestart_test.go
+++ b/internal/app/command/hotrestart_test.go
@@ -10,12 +10,12 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// hotRestartTest is a proxy with the hosts s0 and s1, whose processes replace one another at one
-// address.
+// hotRestartTest is a proxy with the hosts s0 and s1. Its processes replace one another, and serve
+// clients at one address.
 type hotRestartTest struct {
 	*testing.T
 	env   *experiment.Env
-	setup experiment.Setup
+	setup experiment.Setup // shared by all processes; start sets Admin
 }
 
 // newHotRestartTest starts the hosts and their discovery service, but no process yet.
@@ -32,6 +32,7 @@
 }
 
 // start starts a process with its own admin interface, and returns the address of that interface.
+// The caller must kill the process.
 func (h *hotRestartTest) start() (p *experiment.Process, admin string, err error) {
 	setup := h.setup
 	if setup.Admin, err = experiment.FreeAddr(); err == nil {
@@ -40,8 +41,9 @@
 	return p, setup.Admin, err
 }
 
-// startReady starts a process and waits until it is ready. It also returns the address of its admin
-// interface.
+// startReady starts a process and waits until it is ready, which is after it has taken over if
+// another process serves. It returns the process, which the test's end kills, and the address of its
+// admin interface.
 func (h *hotRestartTest) startReady() (*experiment.Process, string) {
 	h.Helper()
 	p, admin, err := h.start()
@@ -66,7 +68,7 @@
 	return body
 }
 
-// open opens a connection, which must be served.
+// open opens a connection with a deadline of 4 s and fails the test if it is not established.
 func (h *hotRestartTest) open() *fake.Client {
 	h.Helper()
 	return openClient(h, h.setup.Listen, 4*time.Second)
--- a/internal/app/command/largerules_test.go
+++ b/internal/app/command/largerules_test.go
@@ -15,6 +15,7 @@
 	t.Parallel()
 	rig := startRulesRig(t, "")
 	waitActive(t, rig, 0, 0, 5)
+	// rulesText returns rules with 250 accounts, 1000 routes, and hostsOut hosts that get no requests.
 	rulesText := func(hostsOut int) string {
 		var b strings.Builder
 		b.WriteString("(rules (pool a (prefixes a))\n")
--- a/internal/app/command/ledger_test.go
+++ b/internal/app/command/ledger_test.go
@@ -10,19 +10,21 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// ledgerTier is four proxies that send one another peer datagrams, and six hosts.
+// ledgerTier is four proxies and six hosts. The proxies send one another peer datagrams. One of them,
+// the ledger server, counts the connections of all in the placement ledger; the others query it for
+// a host.
 type ledgerTier struct {
 	*testing.T
-	mesh   *fake.Mesh
-	procs  []*experiment.Process
-	setups []experiment.Setup
+	mesh   *fake.Mesh            // carries the datagrams between the proxies, and can cut links
+	procs  []*experiment.Process // by proxy
+	setups []experiment.Setup    // by proxy
 	env    *experiment.Env
 	hosts  *fake.Hosts
 }
 
 const (
 	ledgerProxies = 4
-	ledgerGroups  = 3 // groups of clients
+	ledgerGroups  = 3 // groups of clients; the connections of a group are placed together
 )
 
 // newLedgerTier starts the proxies, with a mesh between them, and the hosts.
@@ -72,11 +74,12 @@
 	}
 }
 
-// noProxy makes connect use all proxies.
+// noProxy, as the argument except of connect, makes connect use all proxies.
 const noProxy = -1
 
-// connect sends n requests of three groups to the proxies in turn, omits those for the proxy
-// except, and returns the connections.
+// connect sends n requests of ledgerGroups groups to the proxies in turn, and returns the connections
+// that were established. It omits the requests that are the turn of the proxy except, so that it
+// sends fewer than n. Each request that is not served fails the test.
 func (l *ledgerTier) connect(n, except int) (clients []*fake.Client) {
 	l.Helper()
 	for i := range n {
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -19,21 +19,21 @@
 	open int // the tenant's open connections at all processes, including the new one
 }
 
-// tenantLoad repeatedly requests connections for a tenant at every process. Each established
-// connection stays open for openDuration.
+// tenantLoad repeatedly requests connections for a tenant at every process of a rig, which is a set of
+// proxy processes with hosts. Each established connection stays open for openDuration.
 type tenantLoad struct {
 	processLoop
 	openDuration time.Duration
 
-	mu          sync.Mutex
-	established []establishment
-	open        int
-	rejected    int
-	unanswered  int
+	mu          sync.Mutex      // guards the fields below
+	established []establishment // the oldest first
+	open        int             // connections open now, at all processes
+	rejected    int             // requests rejected, or without an answer from a paused process
+	unanswered  int             // requests without an answer from a process that was not paused
 }
 
-// startTenantLoad starts one client for each process. interval returns the time that a process's
-// client waits between two requests.
+// startTenantLoad starts one client for each process. interval returns the time that the client of a
+// process, given by its index, waits after each request.
 func startTenantLoad(t *testing.T, rig *experiment.Rig, tenant string, openDuration time.Duration, interval func(process int) time.Duration) *tenantLoad {
 	t.Helper()
 	load := &tenantLoad{openDuration: openDuration}
@@ -43,8 +43,8 @@
 	return load
 }
 
-// request requests one connection and counts the outcome. A missing answer counts as rejected if
-// the process is paused by then.
+// request requests one connection with a deadline of 400 ms and counts the outcome. A missing answer
+// counts as rejected if the process is paused by then.
 func (l *tenantLoad) request(proxy, tenant string, paused *atomic.Bool) {
 	client, answer, _ := fake.Open(proxy, "lab", "t="+tenant, 400*time.Millisecond)
 	l.mu.Lock()
@@ -94,7 +94,8 @@
 	return u
 }
 
-// limitBounds bounds a tenant's usage in a phase of a test.
+// limitBounds bounds a tenant's usage in a phase of a test. All bounds are inclusive. minEstablished
+// and maxOpen are numbers of connections, maxPerSecond limits connections established in a second.
 type limitBounds struct{ minEstablished, maxPerSecond, maxOpen int }
 
 // checkPhase waits for duration and checks the tenant's usage in that time.
@@ -109,12 +110,12 @@
 	}
 }
 
-// jobsWithLimits is the number of jobs in a fleet with rules: the publisher's, and one for each
-// shard of the limits.
+// jobsWithLimits is the number of jobs, each of which one process of the fleet owns, in a fleet with
+// rules: one publishes the rules, and one for each shard of the limits issues grants.
 const jobsWithLimits = 1 + quota.Shards
 
-// issuerPreferablyNot returns a process that issues grants for a shard of the limits, and one other
-// than process if there is any.
+// issuerPreferablyNot returns the index of an issuer, a process that issues grants for a shard of the
+// limits. It returns one other than process if there is any.
 func issuerPreferablyNot(rig *experiment.Rig, process int) int {
 	owners, _ := rig.JobOwners()
 	issuer := owners["limits0"]
@@ -126,8 +127,8 @@
 	return issuer
 }
 
-// putLimits puts rules with limits for the account acme, until the answer contains want. rate is in
-// connections per second, connections the number open at once.
+// putLimits puts rules with limits for the account acme, based on version against, until the answer
+// contains want. rate is in connections per second; connections is the number open at once.
 func putLimits(t *testing.T, rig *experiment.Rig, against, rate, connections int, want string) {
 	t.Helper()
 	rules := fmt.Sprintf(`(rules (account acme (tenants t1) (rate %d) (standing %d)) (account other (tenants t2)))`, rate, connections)
@@ -150,8 +151,8 @@
 		}
 		return 150 * time.Millisecond
 	})
-	// The grants of one lifetime add at most the limit once more, and the tokens saved in a bucket
-	// a quarter of it.
+	// The grants of one lifetime may be used on top of the limit, which adds at most rate. The
+	// tokens saved in a token bucket add at most rate/4.
 	const maxPerSecond = 2*rate + rate/4
 	time.Sleep(3 * time.Second)
 	load.checkPhase(t, "no fault", 3*time.Second, limitBounds{5, maxPerSecond, connections})
@@ -179,7 +180,7 @@
 	}
 }
 
-// checkKilledIssuer kills and restarts an issuer. The bounds must hold from the kill on, and
+// checkKilledIssuer kills and restarts an issuer. The upper bounds must hold from the kill on, and
 // connections must be established again once all jobs have owners.
 func checkKilledIssuer(t *testing.T, rig *experiment.Rig, load *tenantLoad, issuer int, bounds limitBounds) {
 	t.Helper()
--- a/internal/app/command/lossylinks_test.go
+++ b/internal/app/command/lossylinks_test.go
@@ -27,6 +27,8 @@
 		}
 	}
 	version := 0
+	// change puts a change against the latest version, at process via, until it is active, and then
+	// updates version.
 	change := func(via int, text string, args ...string) {
 		t.Helper()
 		answer := ""
--- a/internal/app/command/main_test.go
+++ b/internal/app/command/main_test.go
@@ -19,7 +19,8 @@
 	os.Exit(m.Run())
 }
 
-// command runs a command line in this process and returns its output and exit status.
+// command runs a command line in this process, without environment variables. It returns the output
+// with the error's text at its end, and the exit status.
 func command(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	root := New(func(string) string { return "" })
--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -14,8 +14,9 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// waitAllAlive waits until every process of the rig sees all others alive. after describes what
-// happened before, for a failure message.
+// waitAllAlive waits until every process of the rig, which is a set of proxy processes with hosts,
+// sees all others alive. It fails the test after recoveryTimeout. after describes what happened
+// before, for the failure message.
 func waitAllAlive(t *testing.T, rig *experiment.Rig, after string) {
 	t.Helper()
 	if _, ok := rig.AwaitAllAlive(recoveryTimeout); !ok {
@@ -47,7 +48,7 @@
 }
 
 // checkFaultsWithoutLoss checks that lost, duplicated, delayed and corrupted datagrams and a pause
-// of one second make no member unreachable or gone.
+// of one second make no process regard another as unreachable or gone.
 func checkFaultsWithoutLoss(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	plan := []simulation.Fault{{Kind: "loss", StartMS: 0, DurationMS: 3000, Amount: 0.2}, {Kind: "twice", StartMS: 500, DurationMS: 3000, Amount: 0.3}, {Kind: "garbage", StartMS: 0, DurationMS: 3000, Amount: 0.1},
@@ -90,7 +91,8 @@
 	}
 }
 
-// checkForgedDatagrams checks that forged datagrams are counted as unsealed and change nothing.
+// checkForgedDatagrams checks that forged datagrams, whose seal is invalid, are counted as unsealed
+// and do not change n0's view of the members.
 func checkForgedDatagrams(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	before, err := rig.RequestMemberReport(0)
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -13,7 +13,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// startCustomersRig starts five processes that agree on rules, and four hosts of the kinds a and b.
+// startCustomersRig starts a rig of five proxy processes that agree on rules, and two hosts of each
+// of the kinds a and b. It returns the hosts by ID: a1, a2, b1 and b2.
 func startCustomersRig(t *testing.T) (*experiment.Rig, map[string]*fake.Server) {
 	t.Helper()
 	hosts := map[string]*fake.Server{}
@@ -56,7 +57,8 @@
 	clients   *clientLoop
 }
 
-// change puts a change against a version repeatedly until the answer contains want.
+// change puts a change, based on version against, at process via repeatedly until the answer contains
+// want. It fails the test after recoveryTimeout. args are added to the command line.
 func (c *customersTest) change(via, against int, text, want string, args ...string) {
 	c.Helper()
 	answer := ""
@@ -68,8 +70,8 @@
 	}
 }
 
-// rulesOf returns the operators' rules with the hosts of the pools a and b and the tenants of the
-// accounts acme and other.
+// rulesOf returns the operators' rules. poolA and poolB are clauses that select the hosts of the pools
+// a and b; acme and other are the tenants of those accounts, separated by blanks.
 func (c *customersTest) rulesOf(poolA, poolB, acme, other string) string {
 	return fmt.Sprintf(`(rules (pool a %s) (pool b %s) (account acme (tenants %q) (pools a) (grant admin (key %q) (verbs route))) (account other (tenants %q) (pools b)))`,
 		poolA, poolB, acme, c.publicKey, other)
--- a/internal/app/command/process_test.go
+++ b/internal/app/command/process_test.go
@@ -17,7 +17,7 @@
 "limits":{"cores":0.5,"memory_mb":192,"sockets":1024},"known":{"rev":7,"all":true,"targets":[]},
 "settings":{"peers_total":1,"bounds":{"try_limit":5},"lanes":[{"name":"c","on_time":1,"deadline":2,"semantics":"read_like"}]}}`
 
-// configWith returns validConfig with the address of discovery.
+// configWith returns validConfig with the listener's address as that of the discovery service.
 func configWith(discovery net.Listener) string {
 	return strings.Replace(validConfig, "127.0.0.1:2", discovery.Addr().String(), 1)
 }
@@ -33,15 +33,15 @@
 	return l
 }
 
-// program is a running process of the program, with its log.
+// program is a running croftlock process, with its log. Failures are reported to the test.
 type program struct {
 	*testing.T
 	cmd   *exec.Cmd
-	lines *bufio.Scanner
+	lines *bufio.Scanner // of standard error, to which the program logs
 }
 
-// startProgram starts the program with additional environment variables. It is killed at the test's
-// end.
+// startProgram starts a croftlock process from the test's own binary, with additional environment
+// variables and command-line arguments. The process is killed at the test's end.
 func startProgram(t *testing.T, env []string, args ...string) *program {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -57,8 +57,8 @@
 	return &program{T: t, cmd: cmd, lines: bufio.NewScanner(out)}
 }
 
-// await reads the log up to a line that contains text and returns that line. It calls check, unless
-// that is nil, with each line that it reads.
+// await reads the log up to a line that contains text and returns that line. It fails the test if
+// the log ends before. Unless check is nil, await calls it with each line that it reads.
 func (p *program) await(text string, check func(line string)) string {
 	p.Helper()
 	for p.lines.Scan() {
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestSignals checks that SIGHUP reloads the configuration, whose discovery address then overrides
-// the environment's, that an invalid file changes nothing, and that SIGTERM ends the process
-// without an error.
+// TestSignals checks that SIGHUP reloads the configuration file, that an invalid file changes
+// nothing, and that SIGTERM ends the process without an error. After a reload the file's discovery
+// address overrides NODE_DISCOVERY.
 func TestSignals(t *testing.T) {
 	first, second := newDiscoveryListener(t), newDiscoveryListener(t)
 	config := filepath.Join(t.TempDir(), "config.json")
--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -15,7 +15,8 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// rulesCommand returns the group of commands for the rules on which all proxies agree.
+// rulesCommand returns the group of commands for the rules on which all proxies agree. The rules are
+// published in numbered versions.
 func (f *fleetClient) rulesCommand() *cobra.Command {
 	group := &cobra.Command{Use: "rules", Short: "Rules on which all proxies agree"}
 	group.AddCommand(f.putCommand(), f.dropCommand(), f.rollbackCommand(), f.diffCommand(), f.explainCommand(), checkRulesCommand(), keyCommand(),
@@ -23,7 +24,8 @@
 	return group
 }
 
-// query sends an encoded query or proposal to the rules' publisher and prints the reply.
+// query sends an encoded query or proposal to the running proxy, which passes it to the publisher of
+// the rules, and prints the answer.
 func (f *fleetClient) query(cmd *cobra.Command, message []byte) error {
 	return f.send(cmd, owneragent.Request{Command: "rules", Rules: message}, nil)
 }
@@ -37,14 +39,16 @@
 	return c
 }
 
-// rulesStatusCommand returns the command that prints which member holds a lease for which version.
+// rulesStatusCommand returns the command that prints which proxy holds a lease, the right to apply a
+// version for a limited time, for which version.
 func (f *fleetClient) rulesStatusCommand() *cobra.Command {
 	return &cobra.Command{Use: "status", Args: cobra.NoArgs, Example: "  croftlock rules status",
 		Short: "Tell who may act by which version and for how long, who has the next one ready or why not, and what is waited for",
 		RunE:  func(cmd *cobra.Command, _ []string) error { return f.query(cmd, rules.QueryStatus()) }}
 }
 
-// showCommand returns the command that prints the active version or the text of a version.
+// showCommand returns the command that prints the number of the active version, or the text of the
+// version that the argument names.
 func (f *fleetClient) showCommand() *cobra.Command {
 	return &cobra.Command{Use: "show [VERSION]", Args: cobra.MaximumNArgs(1), Example: "  croftlock rules show 0",
 		Short: "Tell which version is active, at how many, and who has no right; with a number, what that version says (0: the active one)",
@@ -89,8 +93,9 @@
 		}}
 }
 
-// versionText queries the text of a rules version. version is a decimal number; 0 stands for the
-// active version.
+// versionText queries the text of a rules version. version is a decimal number; 0 means the active
+// version. It returns an error if the proxy refuses the query. With --json the reply is printed
+// instead, and the returned text is empty.
 func (f *fleetClient) versionText(cmd *cobra.Command, version string) (text string, err error) {
 	n, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
@@ -106,10 +111,12 @@
 	return text, err
 }
 
-// printMissing prints the lines of text that other lacks, each after mark and with its section. It
-// omits comments, which contain numbers that differ between any two versions.
+// printMissing prints the lines of text that other lacks, each after mark and with the section, a line
+// starting with "(", that it is in. A line that text has more often than other is printed for each
+// missing copy. Comments are omitted, because they contain numbers that differ between any two
+// versions.
 func printMissing(w io.Writer, mark, text, other string) {
-	unmatched := map[string]int{} // how many copies of each line of other are not matched yet
+	unmatched := map[string]int{} // copies in other that are not matched yet, by line
 	for _, line := range strings.Split(other, "\n") {
 		unmatched[line]++
 	}
@@ -124,7 +131,8 @@
 	}
 }
 
-// explainCommand returns the command that prints how the proxy decides on a request, and why.
+// explainCommand returns the command that prints how the rules that the proxy applies now decide on a
+// request, and why.
 func (f *fleetClient) explainCommand() *cobra.Command {
 	var zone string
 	c := &cobra.Command{Use: "explain 'OPEN …'", Args: cobra.ExactArgs(1), Short: "Say what becomes of a request by the version that this proxy acts by, and why",
--- a/internal/app/command/rules_test.go
+++ b/internal/app/command/rules_test.go
@@ -23,13 +23,15 @@
 	}
 }
 
-// rulesLoad repeatedly sends requests to every process of a rig and counts those without an answer.
+// rulesLoad repeatedly sends requests to every process of a rig, which is a set of proxy processes with
+// a host, and counts the requests without an answer.
 type rulesLoad struct {
 	processLoop
 	unanswered atomic.Int64
 }
 
-// startRulesLoad starts the requests. A paused process need not answer.
+// startRulesLoad starts the requests, one every 20 ms at each process. Requests that a paused process
+// does not answer are not counted.
 func startRulesLoad(t *testing.T, rig *experiment.Rig) *rulesLoad {
 	t.Helper()
 	load := &rulesLoad{}
@@ -99,8 +101,8 @@
 	}
 }
 
-// killPublisher kills and restarts the owner of the rules' job while a change is in progress. It
-// returns the decisions that the killed process had made.
+// killPublisher kills and restarts the publisher, which is the owner of the job that publishes rules,
+// while a change is in progress. It returns the decisions that the killed process had made.
 func killPublisher(t *testing.T, rig *experiment.Rig, load *rulesLoad) []ruleDecision {
 	t.Helper()
 	owners, _ := rig.JobOwners()
@@ -125,7 +127,8 @@
 }
 
 // checkRuleDecisions checks that no two versions were applied at once for more than a second, over
-// the decisions of all processes.
+// the decisions of all processes and those of a process before it was killed. At least 100 decisions
+// must be logged.
 func checkRuleDecisions(t *testing.T, rig *experiment.Rig, ofKilledProcess []ruleDecision) {
 	t.Helper()
 	all := [][]ruleDecision{ofKilledProcess}
--- a/internal/app/command/ruleschange.go
+++ b/internal/app/command/ruleschange.go
@@ -14,8 +14,9 @@
 	"croftlock/internal/operations/settings"
 )
 
-// changeCommand makes c propose a change and returns c. The function change builds the change from
-// the command's argument and the number of the version that the change is based on.
+// changeCommand makes the command c propose a change of the rules, and returns c. The function change
+// builds the change from the command's only argument and from against, the number of the rules
+// version that the change is based on.
 func (f *fleetClient) changeCommand(c *cobra.Command, change func(arg string, against uint64) (*rules.Change, error)) *cobra.Command {
 	var against uint64
 	var keyPath string
@@ -35,7 +36,8 @@
 	return c
 }
 
-// putCommand returns the command that proposes rules, a namespace or an account.
+// putCommand returns the command that proposes the operators' rules, an account's namespace (its own
+// routes), or an account, as read from a file.
 func (f *fleetClient) putCommand() *cobra.Command {
 	return f.changeCommand(&cobra.Command{Use: "put FILE", Short: "Propose the operators' rules, whole, or an account's namespace, or an account below another",
 		Long: "FILE holds one section: (rules …), (namespace …) or (account …). The answer says at how many proxies it is active and whose right has lapsed; refused,\n" +
@@ -57,8 +59,8 @@
 		})
 }
 
-// readChange reads the file of a change, which must have exactly one section, and returns that
-// section's value.
+// readChange reads the file of a change, which must have exactly one section. It returns that
+// section's value: a *rules.Version, *namespace.Namespace or *namespace.Account.
 func readChange(path string) (any, error) {
 	file, err := settings.Schema{rules.Section(), namespace.Section(), namespace.AccountSection()}.Load(path)
 	if err != nil {
@@ -94,7 +96,8 @@
 		})
 }
 
-// grantKey reads the Ed25519 private key that a grant names.
+// grantKey reads a private key, which must be Ed25519, from a PEM file. A grant of the rules names the
+// public key of someone who may change them.
 func grantKey(path string) (ed25519.PrivateKey, error) {
 	k, err := certs.LoadKey(path, "")
 	if err != nil {
--- a/internal/app/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -17,8 +17,10 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// startRulesRig starts five processes, three of them voters, that agree on rules with an
-// agree_within of 1 s. extra is added to the owners section of the settings file.
+// startRulesRig starts a rig, which is a set of proxy processes with one host. Its five processes,
+// three of them voters, agree on rules; agree_within, the longest time for which two versions of the
+// rules may be applied at once, is 1 s. extra is added to the owners section of the settings file; DIR in it
+// stands for a process's directory. The test's end stops the processes.
 func startRulesRig(t *testing.T, extra string) *experiment.Rig {
 	t.Helper()
 	rigSlots <- struct{}{}
@@ -32,12 +34,11 @@
 	return rig
 }
 
-// ruleDecision is a decision on a request in a process's log. The checks of overlaps use only the
-// log.
+// ruleDecision is a decision on a request by the rules, as a process's log reports it.
 type ruleDecision struct {
 	at      time.Time
-	version int
-	lapsed  bool
+	version int  // of the rules
+	lapsed  bool // whether the process held no lease, the right to apply a version
 }
 
 var (
@@ -55,7 +56,7 @@
 	return at
 }
 
-// ruleDecisions returns the decisions in a process's log.
+// ruleDecisions returns the decisions in a process's log, the oldest first.
 func ruleDecisions(t *testing.T, p *experiment.Process) (all []ruleDecision) {
 	t.Helper()
 	for _, line := range p.LogLines("event=rules_applied") {
@@ -97,8 +98,8 @@
 	return longest
 }
 
-// waitActive waits until process i answers that a version is active at the given number of
-// processes.
+// waitActive waits until process i answers that a version is active at the given number, at, of the
+// five processes. It fails the test after recoveryTimeout.
 func waitActive(t *testing.T, rig *experiment.Rig, i, version, at int) {
 	t.Helper()
 	want := fmt.Sprintf("active: version %d at %d of 5", version, at)
@@ -129,8 +130,9 @@
 	}
 }
 
-// putRules runs the command rules put with a change, at the socket of the process via. It returns
-// the exit status and the output, separated by a blank.
+// putRules runs the command rules put with the change in text, at the socket of the process via.
+// against is the number of the version that the change is based on; flags are added to the command
+// line. putRules returns the exit status and the output, separated by a blank.
 func putRules(t *testing.T, rig *experiment.Rig, via, against int, text string, flags ...string) string {
 	t.Helper()
 	path := filepath.Join(rig.Dir(via), fmt.Sprintf("rules-%d-%d.sexp", against, len(text)))
@@ -142,7 +144,8 @@
 	return fmt.Sprintf("%d %s", status, out)
 }
 
-// putRulesUntil repeats putRules until the result contains want.
+// putRulesUntil repeats putRules until the result contains want. It fails the test after
+// recoveryTimeout.
 func putRulesUntil(t *testing.T, rig *experiment.Rig, via, against int, text, want string) {
 	t.Helper()
 	answer := ""
@@ -154,8 +157,8 @@
 	}
 }
 
-// requestAnswer sends a request for a connection to addr and returns the answer line, or "" if
-// there was none within 5 s.
+// requestAnswer sends a request for a connection, with the request ID id (16 hexadecimal digits) and
+// a deadline of 200 ms, to addr. It returns the answer line, or "" if there was none within 5 s.
 func requestAnswer(addr, id string) string {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -168,8 +171,9 @@
 	return strings.TrimSpace(line)
 }
 
-// putUntilAnswered repeats putRules until the outcome is known, because an answer may be lost and
-// the publisher may have just changed. A change that is put repeatedly is made only once.
+// putUntilAnswered repeats putRules until the outcome is known, and returns the last result. A single
+// answer may be lost, or report that the publisher, the process that publishes rules, has just
+// changed. A change that is put repeatedly is made only once.
 func putUntilAnswered(t *testing.T, rig *experiment.Rig, via, against int, text string, flags ...string) (answer string) {
 	t.Helper()
 	if _, ok := experiment.AwaitCondition(2*recoveryTimeout, func() bool {
--- a/internal/app/command/watermarks_test.go
+++ b/internal/app/command/watermarks_test.go
@@ -11,13 +11,14 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// watermarkTest is a rig of five processes with watermarks, each with a discovery service of its
-// own, and clients at each process.
+// watermarkTest is a rig of five proxy processes, each with a discovery service of its own, and
+// clients at each process. The processes exchange watermarks: a watermark tells processes with an
+// older endpoint list that a host is draining or gone.
 type watermarkTest struct {
 	*testing.T
 	rig     *experiment.Rig
 	entries []fake.Entry      // of hosts a, b and c
-	lists   []*fake.Discovery // by process
+	lists   []*fake.Discovery // the discovery services, by process
 	clients *clientLoop
 }
 
@@ -61,8 +62,8 @@
 	return err == nil && alive >= len(w.rig.Procs)-1
 }
 
-// waitAt waits until holds returns true for each of the processes. A failure message contains
-// condition, which describes it.
+// waitAt waits until holds returns true for each of the processes, and fails the test after
+// recoveryTimeout. condition describes what holds checks, for the failure message.
 func (w *watermarkTest) waitAt(condition string, holds func(i int) bool, processes ...int) {
 	w.Helper()
 	for _, i := range processes {
