--- a/internal/dataplane/hotrestart/endpoint.go
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -10,10 +10,12 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// acceptRetryDelay is the pause after a failed accept, since the process may be out of descriptors.
+// acceptRetryDelay is the time from a failed accept until the next one. The process may be out of file
+// descriptors, and an accept would fail again at once.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Endpoint is the Unix socket on which the next process requests the handover.
+// Endpoint is the Unix socket on which the next process of this proxy requests the handover. Its
+// methods may be called from any goroutine.
 type Endpoint struct {
 	listener  *net.UnixListener
 	loop      *netio.Loop
@@ -24,8 +26,9 @@
 // OfferHandover listens in dir for the next process's request for a handover. For each request it
 // calls onRequest on the loop with the address that clients use at the new process. onRequest
 // returns what to hand over, or an error whose text is sent as the reason for the rejection. This
-// process keeps its own copies of the descriptors. After sending a handover, successfully or not, it
-// calls onPartner on the loop with the new process. Close ends the offer.
+// process keeps its own copies of the descriptors. After it has sent a handover, successfully or not,
+// OfferHandover's goroutine posts onPartner to the loop with the new process as partner. Close ends
+// the offer.
 func OfferHandover(l *netio.Loop, dir string, onRequest func(listen string) (*Handoff, error), onPartner func(*Partner)) (*Endpoint, error) {
 	ln, err := replaceSocket(dir)
 	if err != nil {
@@ -36,8 +39,8 @@
 	return endpoint, nil
 }
 
-// replaceSocket listens on a temporary socket and renames it over the one in dir. The process that
-// serves now may still listen on the old socket, which must stay reachable until the new one replaces it.
+// replaceSocket listens on a temporary socket and renames it over the one in dir. Another process may
+// still serve and listen on the old socket, which must stay reachable until the new one replaces it.
 func replaceSocket(dir string) (*net.UnixListener, error) {
 	path, release := socketPath(dir)
 	defer release()
@@ -62,7 +65,7 @@
 // Close stops listening for requests. Partners that are already connected stay connected.
 func (e *Endpoint) Close() { e.listener.Close() }
 
-// serve answers requests one at a time until Close. Only one new process at a time can take over.
+// serve answers requests one at a time until Close, because only one new process can take over.
 func (e *Endpoint) serve() {
 	for {
 		c, err := e.listener.AcceptUnix()
@@ -77,8 +80,8 @@
 	}
 }
 
-// serveRequest reads a request, and sends the handover or a rejection. It closes c without an answer
-// if the request is invalid.
+// serveRequest reads a request from c, and sends the handover or a rejection. It closes c without an
+// answer if the request is invalid. After a handover the Partner that it posts to onPartner owns c.
 func (e *Endpoint) serveRequest(c *net.UnixConn) {
 	m, ok := readRequest(c)
 	if !ok {
@@ -100,7 +103,8 @@
 	e.loop.Post(func() { e.onPartner(p) })
 }
 
-// readRequest reads a request for a handover. ok is false if c fails or sends anything else.
+// readRequest reads a request for a handover. ok is false if c fails, sends nothing within
+// answerTimeout or sends anything else.
 func readRequest(c *net.UnixConn) (m handoverRequest, ok bool) {
 	c.SetReadDeadline(time.Now().Add(answerTimeout))
 	e, fds, err := receive(c)
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -12,17 +12,18 @@
 	descriptors() []int
 }
 
-// envelope is the form on the wire that all kinds of messages share. Each kind uses some of the fields.
+// envelope is the form on the wire, in JSON, that all kinds of messages share. Each kind sets some of
+// the fields.
 type envelope struct {
-	Kind        string                      `json:"Kind"`             // one of the constants below
-	Listen      string                      `json:"Listen,omitempty"` // the address that clients use
-	Snapshot    *proxy.Snapshot             `json:"Kept,omitempty"`
+	Kind        string                      `json:"Kind"`               // one of the constants below
+	Listen      string                      `json:"Listen,omitempty"`   // the address that clients use
+	Snapshot    *proxy.Snapshot             `json:"Kept,omitempty"`     // state of the sender; only its list in kindList
 	HasDatagram bool                        `json:"Datagram,omitempty"` // whether the second descriptor is a datagram socket
 	HostID      string                      `json:"ID,omitempty"`
-	Suspended   bool                        `json:"Out,omitempty"`
-	Downstreams int                         `json:"Sessions,omitempty"`
+	Suspended   bool                        `json:"Out,omitempty"`      // whether the host HostID is suspended; false if it was resumed
+	Downstreams int                         `json:"Sessions,omitempty"` // number of downstreams, the connections of clients
 	Connection  *proxy.HandedOverConnection `json:"Standing,omitempty"`
-	Reason      string                      `json:"Reason,omitempty"`
+	Reason      string                      `json:"Reason,omitempty"` // why a handover is rejected
 }
 
 // The kinds of messages, as written on the wire.
@@ -51,7 +52,8 @@
 
 func (m handoverRequest) envelope() envelope { return envelope{Kind: kindRequest, Listen: m.listen} }
 
-// welcome, from the old process to the new, hands over the sockets and a snapshot.
+// welcome, from the old process to the new, hands over the sockets and a snapshot of the state. It
+// carries one or two descriptors: the listening socket, and the datagram socket if there is one.
 type welcome struct{ Handoff }
 
 func (m welcome) envelope() envelope {
@@ -73,7 +75,8 @@
 
 func (m rejection) envelope() envelope { return envelope{Kind: kindRejection, Reason: m.reason} }
 
-// takeOver, from the new process to the old, reports that the new process now accepts clients.
+// takeOver, from the new process to the old, asks the old process to stop accepting clients. The
+// answer is takenOver.
 type takeOver struct{ noDescriptors }
 
 func (takeOver) envelope() envelope { return envelope{Kind: kindTakeOver} }
@@ -87,18 +90,19 @@
 
 func (m takenOver) envelope() envelope { return envelope{Kind: kindTakenOver, Snapshot: m.snapshot} }
 
-// hostSuspended, in either direction, reports that a host was suspended or resumed.
+// hostSuspended, in either direction, reports that an operator suspended or resumed a host.
 type hostSuspended struct {
 	noDescriptors
 	hostID    string
-	suspended bool
+	suspended bool // false if the host was resumed
 }
 
 func (m hostSuspended) envelope() envelope {
 	return envelope{Kind: kindSuspended, HostID: m.hostID, Suspended: m.suspended}
 }
 
-// listChanged, from the old process to the new, carries an endpoint list received after the handover.
+// listChanged, from the old process to the new, carries an endpoint list that the old process received
+// from discovery after the handover.
 type listChanged struct {
 	noDescriptors
 	snapshot *proxy.Snapshot // may be nil
@@ -106,8 +110,8 @@
 
 func (m listChanged) envelope() envelope { return envelope{Kind: kindList, Snapshot: m.snapshot} }
 
-// downstreamCount, from the old process to the new, reports the number of downstreams that the sender
-// still has.
+// downstreamCount, from the old process to the new, reports the number of downstreams, which are
+// connections of clients, that the sender still has.
 type downstreamCount struct {
 	noDescriptors
 	count int
@@ -118,7 +122,7 @@
 }
 
 // connection, from the old process to the new, hands over an open connection with two descriptors:
-// the client's socket and the host's.
+// the socket to the client (downstream), then the socket to the host (upstream).
 type connection struct{ *proxy.HandedOverConnection }
 
 func (m connection) envelope() envelope {
@@ -137,7 +141,8 @@
 func (m unexpectedMessage) envelope() envelope { return envelope{Kind: m.kind} }
 
 // decode returns the message in an envelope that arrived with the descriptors fds. The caller owns the
-// descriptors that belong to the message; decode closes all others.
+// descriptors that belong to the message; decode closes all others. It returns an unexpectedMessage
+// if the kind is unknown, or if a welcome or connection lacks its content or descriptors.
 func decode(e *envelope, fds []int) message {
 	switch {
 	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 1 && !e.HasDatagram:
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -9,25 +9,28 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// maxQueuedMessages is the maximum number of messages queued for the other process. Messages are few
-// and short.
+// maxQueuedMessages is the maximum number of messages that wait to be written to the other process. A
+// process that reads its messages has few waiting.
 const maxQueuedMessages = 256
 
 // Events handles what a Partner receives. All methods are called on the loop.
 type Events interface {
-	// TakeOver is called when the partner begins to accept clients. It returns the state to send to the
-	// partner, or nil to send none.
+	// TakeOver is called when the partner, the new process, asks this one to stop accepting clients. It
+	// returns the state to send to the partner, or nil to send none.
 	TakeOver() *proxy.Snapshot
 	// TakenOver is called when the partner has stopped accepting clients. s is the partner's last state,
 	// or nil if it sent none.
 	TakenOver(s *proxy.Snapshot)
-	// HostSuspended is called when a host was suspended or, if suspended is false, resumed.
+	// HostSuspended is called when an operator suspended the host id at the partner or, if suspended is
+	// false, resumed it.
 	HostSuspended(id string, suspended bool)
 	// ListChanged is called with an endpoint list that the partner received after the handover.
 	ListChanged(s *proxy.Snapshot)
-	// DownstreamCount is called with the number of downstreams that the partner still has.
+	// DownstreamCount is called with the number of downstreams, the connections of clients, that the
+	// partner still has. It is not negative.
 	DownstreamCount(n int)
-	// ConnectionReceived is called with an open connection, whose sockets this process now owns.
+	// ConnectionReceived is called with an open connection that the partner hands over. This process
+	// now owns the connection's two sockets.
 	ConnectionReceived(c *proxy.HandedOverConnection)
 	// Gone is called once, when the connection to the partner has ended.
 	Gone()
@@ -37,7 +40,7 @@
 // goroutine; Run must be called once.
 type Partner struct {
 	conn      *net.UnixConn
-	queue     chan queuedMessage
+	queue     chan queuedMessage // messages to write, at most maxQueuedMessages
 	closeOnce sync.Once
 	closed    chan struct{} // closed by Close
 }
@@ -108,7 +111,8 @@
 	}
 }
 
-// write sends a message. If the message hands over a connection, this process no longer owns it afterwards.
+// write sends a message. If the message hands over a connection, this process no longer owns the
+// connection afterwards, even if write returns an error.
 func (p *Partner) write(m queuedMessage) error {
 	err := send(p.conn, m.message)
 	if m.handover != nil {
@@ -131,8 +135,9 @@
 	}
 }
 
-// handle calls the method of events for a message from the partner. It ignores a message that lacks
-// its host ID or snapshot.
+// handle calls the method of events for a message from the partner. It ignores a hostSuspended without
+// a host ID and a listChanged without a snapshot. It logs any other unexpected message and closes its
+// descriptors. handle must be called on the loop.
 func (p *Partner) handle(m message, events Events) {
 	switch m := m.(type) {
 	case takeOver:
@@ -159,7 +164,7 @@
 }
 
 // send queues a message without blocking. A full queue means that the partner does not read; send then
-// closes the connection.
+// closes the connection to the partner.
 func (p *Partner) send(m message) {
 	select {
 	case p.queue <- queuedMessage{message: m}:
@@ -169,8 +174,8 @@
 }
 
 // HandOver hands an open connection over to the partner without blocking. If that fails, for example
-// because the queue is full, the client receives migrationLine. done is called, on any goroutine, once
-// this process no longer owns the connection.
+// because the queue is full, the client receives migrationLine, which makes it reconnect. done is
+// called once, on any goroutine, when this process no longer owns the connection.
 func (p *Partner) HandOver(c *proxy.HandedOverConnection, migrationLine []byte, done func()) {
 	h := &handover{c, migrationLine, done}
 	select {
@@ -182,19 +187,21 @@
 	}
 }
 
-// SendTakeOver notifies the old process that this one now accepts clients.
+// SendTakeOver asks the old process to stop accepting clients. Events.TakenOver reports the answer.
 func (p *Partner) SendTakeOver() { p.send(takeOver{}) }
 
-// SendHostSuspended notifies the partner that a host was suspended or, if suspended is false, resumed.
+// SendHostSuspended notifies the partner that an operator suspended the host id or, if suspended is
+// false, resumed it.
 func (p *Partner) SendHostSuspended(id string, suspended bool) {
 	p.send(hostSuspended{hostID: id, suspended: suspended})
 }
 
-// SendListChanged sends the endpoint list to the partner. The two processes are one proxy and must use
-// the same list.
+// SendListChanged sends the endpoint list in s to the partner, because the two processes are one proxy
+// and must use the same list. Of s only the list and its origin are needed.
 func (p *Partner) SendListChanged(s *proxy.Snapshot) { p.send(listChanged{snapshot: s}) }
 
-// SendDownstreamCount sends the number of downstreams that this process still has.
+// SendDownstreamCount sends the number of downstreams, the connections of clients, that this process
+// still has.
 func (p *Partner) SendDownstreamCount(n int) { p.send(downstreamCount{count: n}) }
 
 // Close closes the connection to the partner. If Run was called, Events.Gone follows. Close may be
--- a/internal/dataplane/hotrestart/partner_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -14,7 +14,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// recordedEvents sends a text for each call of a Partner to events.
+// recordedEvents implements Events. It sends a text for each call to the channel events.
 type recordedEvents struct {
 	events   chan string
 	snapshot *proxy.Snapshot // returned by TakeOver
@@ -32,7 +32,7 @@
 }
 func (s *recordedEvents) Gone() { s.events <- "gone" }
 
-// expect waits for the next event and fails the test unless it is want.
+// expect waits up to 10 s for the next event and fails the test unless it is want.
 func (s *recordedEvents) expect(t *testing.T, want string) {
 	t.Helper()
 	select {
--- a/internal/dataplane/hotrestart/request.go
+++ b/internal/dataplane/hotrestart/request.go
@@ -18,7 +18,8 @@
 	// maxSocketPath is the longest socket path, in bytes, that is used directly. It is below the
 	// system's limit, also with the suffix that replaceSocket appends.
 	maxSocketPath = 99
-	// answerTimeout is how long to wait for the other process, whose loop may be under full load.
+	// answerTimeout is the maximum time to wait for the other process to accept a connection, send a
+	// request or answer it. Its loop may be under full load.
 	answerTimeout = time.Second
 )
 
@@ -26,11 +27,12 @@
 // already has a partner.
 var ErrBusy = errors.New("another process of this proxy is being replaced")
 
-// Handoff is what the old process hands over.
+// Handoff is the state and the sockets that the old process hands over to the new one, or the state
+// that an earlier process stored.
 type Handoff struct {
 	Snapshot   *proxy.Snapshot
-	ListenerFD int // listening socket, owned by the receiver; negative if there is no old process
-	DatagramFD int // datagram socket, owned by the receiver; negative if there is none
+	ListenerFD int // descriptor of the listening socket, owned by the receiver; negative if there is no old process
+	DatagramFD int // descriptor of the socket for datagrams to other proxies, owned by the receiver; negative if there is none
 }
 
 // close closes the received descriptors.
@@ -38,8 +40,8 @@
 
 // RequestHandover requests a handover from the process that serves clients at listen and has its
 // private directory at dir. It returns nil values and a nil error if there is no such process. After
-// an error a process may still serve, and may hand over if the request is repeated. now is the loop's
-// time in nanoseconds.
+// an error the other process may still serve, and may hand over if the request is repeated. now is the
+// loop's time in nanoseconds, to which the times in the snapshot are converted.
 func RequestHandover(dir, listen string, now int64) (*Partner, *Handoff, error) {
 	conn, err := dialServing(dir)
 	if conn == nil {
@@ -53,7 +55,8 @@
 	return newPartner(conn), h, nil
 }
 
-// dialServing connects to the process that serves. It returns nil, nil if there is none.
+// dialServing connects to the process that serves and has its private directory at dir. It returns
+// nil, nil if there is none.
 func dialServing(dir string) (*net.UnixConn, error) {
 	path, release := socketPath(dir)
 	defer release()
@@ -67,8 +70,8 @@
 	return c.(*net.UnixConn), nil
 }
 
-// requestHandoff sends a request for a handover and reads the answer. After a rejection the error
-// matches ErrBusy.
+// requestHandoff sends a request for a handover and reads the answer. If the process that serves
+// rejects the request, the error matches ErrBusy. now is as in RequestHandover.
 func requestHandoff(conn *net.UnixConn, listen string, now int64) (*Handoff, error) {
 	conn.SetReadDeadline(time.Now().Add(answerTimeout))
 	if err := send(conn, handoverRequest{listen: listen}); err != nil {
@@ -95,9 +98,10 @@
 	return nil, fmt.Errorf("the process that serves answered %q with %d sockets", e.Kind, len(fds))
 }
 
-// socketPath returns a path to the socket in dir that fits the system's limit. A longer path is
-// replaced with one through an open descriptor of dir, or returned as it is if dir cannot be opened.
-// The caller must call release after using path.
+// socketPath returns a path to the socket in dir that fits the system's limit for socket paths. If the
+// plain path is longer than maxSocketPath, socketPath opens dir and returns a path through that
+// descriptor; if dir cannot be opened, it returns the plain path. The caller must call release after
+// using path.
 func socketPath(dir string) (path string, release func()) {
 	path = filepath.Join(dir, socketName)
 	if len(path) <= maxSocketPath {
--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -19,7 +19,7 @@
 	stateFile = "croftlock.state"
 	// stateMagic starts the first line of the file, followed by the length of the rest in bytes and its CRC-32.
 	stateMagic = "croftlock-state 1"
-	// maxStateSize is the maximum size of a state file, in bytes.
+	// maxStateSize is the maximum size of the state file and of the spare file, in bytes.
 	maxStateSize = 4 << 20
 )
 
@@ -42,7 +42,8 @@
 }
 
 // decodeState decodes the content of a state file. It returns an error if the content is incomplete,
-// of another format or version, or beyond the bounds of a snapshot. now is the loop's time in nanoseconds.
+// of another format or version, or beyond the bounds of a snapshot. now is the loop's time in
+// nanoseconds, to which the times in the snapshot are converted.
 func decodeState(data []byte, now int64) (*proxy.Snapshot, error) {
 	body, err := parseState(data)
 	if err != nil {
@@ -65,7 +66,7 @@
 		return nil, fmt.Errorf("%w: %.40q, expected %q", errStateHeader, header, stateMagic)
 	}
 	if length >= 0 && length < len(body) && body[length] == 0 {
-		body = body[:length] // the rest is space reserved for the spare file, which is filled with zeros
+		body = body[:length] // what follows is the unused space of a spare file, which begins with a zero byte
 	}
 	if got := crc32.ChecksumIEEE(body); length != len(body) || sum != got {
 		return nil, fmt.Errorf("%w: %d bytes with %08x, expected %d with %08x", errStateChecksum, len(body), got, length, sum)
@@ -74,10 +75,10 @@
 }
 
 // ReadState returns the latest snapshot that an earlier process stored in dir, or nil, nil if there is
-// none. It returns an error if the file cannot be used, which must not keep a proxy from starting. If
-// only reading the spare file fails, it returns that error with the snapshot of the state file, and
-// the caller may try again.
-// now is the loop's time in nanoseconds.
+// none. The snapshot is in the state file or, if that could not be replaced, in the spare file.
+// ReadState returns an error if neither can be used; the caller should then start without a snapshot.
+// If only reading the spare file fails, ReadState returns that error with the snapshot of the state
+// file, and the caller may try again. now is the loop's time in nanoseconds.
 func ReadState(dir string, now int64) (*proxy.Snapshot, error) {
 	s, err := readStateFile(filepath.Join(dir, stateFile), now)
 	spare, spareErr := readStateFile(filepath.Join(dir, spareFile), now)
@@ -120,8 +121,8 @@
 	return s, nil
 }
 
-// SetAsideState renames a state file that cannot be used, so that it is not overwritten and can be
-// examined. It logs an error of the rename.
+// SetAsideState renames the state file in dir, which cannot be used, to a name ending in .unusable, so
+// that it is not overwritten and operators can examine it. It logs an error of the rename.
 func SetAsideState(dir string) {
 	path := filepath.Join(dir, stateFile)
 	if err := os.Rename(path, path+".unusable"); err != nil && !os.IsNotExist(err) {
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -38,6 +38,7 @@
 	}
 	complete, _ := os.ReadFile(filepath.Join(dir, stateFile))
 	text := string(complete)
+	// encodeChanged returns the content of a state file for the sample snapshot as changed by change.
 	encodeChanged := func(change func(s *proxy.Snapshot)) string {
 		snapshot := sampleSnapshot()
 		change(snapshot)
--- a/internal/dataplane/hotrestart/statewrite.go
+++ b/internal/dataplane/hotrestart/statewrite.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// spareFile stores the state if the disk has no space for a new file. Its space is reserved while
-	// there is some, and it is overwritten in place. A process killed during the write leaves an
-	// incomplete spare file and the previous state file.
+	// spareFile is the name of the file that stores the state if the state file cannot be replaced, for
+	// example because the disk is full. Its space is reserved while the disk has some, and it is
+	// overwritten in place. A process killed during that write leaves an incomplete spare file and the
+	// previous state file.
 	spareFile = stateFile + ".spare"
 	// minSpareSize is the minimum size of a spare file, in bytes.
 	minSpareSize = 64 << 10
 )
 
 // writeState stores a snapshot in dir. readable reports whether the next process will find it. If
-// readable is true and err is not nil, the snapshot may not survive a failure of the machine, or it is
-// in the spare file because the state file could not be replaced.
+// readable is true and err is not nil, either the snapshot may not survive a failure of the machine,
+// or it is in the spare file because the state file could not be replaced. After replacing the state
+// file, writeState reserves twice the state's size for the spare file.
 func writeState(dir string, s *proxy.Snapshot) (readable bool, err error) {
 	data, err := encodeState(s)
 	if err != nil {
--- a/internal/dataplane/hotrestart/store.go
+++ b/internal/dataplane/hotrestart/store.go
@@ -11,22 +11,23 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// The backoff after a failed write, which doubles with each failure up to the maximum.
+// Bounds of the backoff, the time from a failed write to the next attempt. It doubles with each failure.
 const (
 	minWriteBackoff = 50 * time.Millisecond
 	maxWriteBackoff = time.Second
 )
 
-// Store writes snapshots to the state file in its own goroutine, so that the loop does not wait for the
-// disk. If several snapshots wait, only the latest is written.
+// Store writes snapshots of the process's state, for the next process, to the state file. It does so on
+// its own goroutine, so that the loop does not wait for the disk. If several snapshots wait, only the
+// latest is written.
 type Store struct {
 	loop *netio.Loop
-	dir  string
-	wake chan struct{} // has an element if Save was called since run last received
+	dir  string        // the private directory, which contains the state file
+	wake chan struct{} // has an element if Save was called since the goroutine last received one
 
 	mu        sync.Mutex      // guards the fields below
 	pending   *proxy.Snapshot // nil if no snapshot waits to be written
-	callbacks []func()        // to post to the loop after the next attempt
+	callbacks []func()        // to post to the loop after the next attempt to write
 }
 
 // NewStore returns a Store that writes to dir until the process exits. It removes incomplete files of
@@ -77,9 +78,10 @@
 	}
 }
 
-// writeNext writes the pending snapshot, if any, and reports whether that succeeded. It posts the
-// callbacks to the loop in either case. isRetry reports whether the last write failed: only the first
-// of several failures is logged, and the success that ends them.
+// writeNext writes the pending snapshot, if any, and reports whether that succeeded; it returns true if
+// none is pending. It posts the callbacks to the loop in either case. isRetry specifies whether the
+// previous write failed: of several failures in succession only the first is logged, and then the
+// success that ends them.
 func (s *Store) writeNext(isRetry bool) bool {
 	snapshot, callbacks := s.removePending()
 	var err error
@@ -109,7 +111,7 @@
 	return snapshot, callbacks
 }
 
-// requeue makes a snapshot that could not be written pending again, unless a newer one is.
+// requeue makes a snapshot that could not be written pending again, unless a newer one is pending.
 func (s *Store) requeue(snapshot *proxy.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/hotrestart/store_test.go
+++ b/internal/dataplane/hotrestart/store_test.go
@@ -6,8 +6,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// TestStore checks that Save calls done once the snapshot is on disk, and also if the directory cannot be
-// written to.
+// TestStore checks that Save calls done when the snapshot is on disk, and also after a failed attempt if
+// the directory does not exist.
 func TestStore(t *testing.T) {
 	l := netio.NewLoop()
 	go l.Run()
--- a/internal/dataplane/hotrestart/transport.go
+++ b/internal/dataplane/hotrestart/transport.go
@@ -17,18 +17,19 @@
 	// maxMessageSize is the maximum size of a message body, in bytes. On the wire a message is a
 	// big-endian length of four bytes, followed by that many bytes of JSON.
 	maxMessageSize = maxStateSize
-	// maxDescriptors is the maximum number of descriptors received in one read.
+	// maxDescriptors is the number of descriptors for which a read has space. Messages carry at most two.
 	maxDescriptors = 8
-	// writeTimeout is the time in which the other process must accept a complete message.
+	// writeTimeout is the maximum time to write a complete message to the other process.
 	writeTimeout = 2 * time.Second
 )
 
 var (
 	errMessageTooLong  = errors.New("message too long")
-	errConnectionEnded = errors.New("ended")
+	errConnectionEnded = errors.New("ended") // the other process closed the connection
 )
 
-// send writes a complete message. Its descriptors are sent with the length.
+// send writes a complete message within writeTimeout. Its descriptors are sent with the four bytes of
+// the length.
 func send(c *net.UnixConn, m message) error {
 	e := m.envelope()
 	body, err := json.Marshal(&e)
