--- a/internal/app/command/golden_test.go
+++ b/internal/app/command/golden_test.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// transcript runs a command and returns its output and exit status. The checkout's path, which
-// depends on where the test runs, is replaced.
+// transcript runs a command and returns the command line, the output and the exit status as a text. It
+// replaces the checkout's path, which depends on where the test runs, by ROOT.
 func transcript(t *testing.T, args ...string) string {
 	t.Helper()
 	out, status := command(t, args...)
--- a/internal/app/command/tls_test.go
+++ b/internal/app/command/tls_test.go
@@ -19,8 +19,8 @@
 // with one for another name.
 type tlsTest struct {
 	*testing.T
-	dir       string // directory of the proxy's files
-	pki       *fake.PKI
+	dir       string       // directory of the proxy's files
+	pki       *fake.PKI    // issues the certificates; the proxy trusts its authority Trusted
 	trust     string       // path of the file with the trusted authorities
 	settings  string       // path of the settings file
 	wrongName *fake.Server // s2
@@ -69,7 +69,8 @@
 	return s
 }
 
-// newServer starts a server with the ID uid in zone a.
+// newServer starts an upstream host with the ID uid in zone a, which serves with TLS as config
+// specifies.
 func (s *tlsTest) newServer(uid string, config *tls.Config) *fake.Server {
 	s.Helper()
 	server, err := fake.NewServer(uid, "a", config)
--- a/internal/app/command/watermarks_test.go
+++ b/internal/app/command/watermarks_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// logged returns a function that reports whether process i has logged an event.
+// logged returns a function that reports whether process i has logged a line that contains event.
 func (w *watermarkTest) logged(event string) func(i int) bool {
 	return func(i int) bool { return len(w.rig.Procs[i].LogLines(event)) > 0 }
 }
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -13,7 +13,7 @@
 	"croftlock/internal/dataplane/netio/netiotest"
 )
 
-// seeds holds valid and invalid requests for FuzzCall. TestCalls uses some of them.
+// seeds holds valid and invalid requests for FuzzCall. TestCalls uses some of them by their index.
 var seeds = []string{
 	"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n",
 	"POST /v1/catalogue-servers/s%2D1/suspend?why=x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc",
@@ -57,7 +57,8 @@
 	done(id == "a/b")
 }
 
-// startServer starts a server and returns a function that dials it.
+// startServer starts a server for at most capacity callers on a loop that runs until the test's end.
+// It returns a function that opens a connection to the server with a deadline of 10 s.
 func startServer(t *testing.T, capacity int) func() net.Conn {
 	t.Helper()
 	l := netio.NewLoop()
@@ -80,8 +81,8 @@
 	}
 }
 
-// call sends a request in one piece or byte by byte, and returns the status line, the value of
-// Allow in brackets if there is one, and the body.
+// call sends a request, in one write for each byte if byByte is true, and reads the answer. It returns
+// the status line without the version, the value of Allow in brackets if there is one, and the body.
 func call(t *testing.T, c net.Conn, request string, byByte bool) string {
 	t.Helper()
 	if byByte {
--- a/internal/operations/admin/body.go
+++ b/internal/operations/admin/body.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// bodyComplete reports whether a request's body has arrived.
+// bodyComplete reports whether body, the input after the request's head, contains the whole body of
+// the request. A request without a length has an empty body.
 func (h *headers) bodyComplete(body []byte) (bool, fault) {
 	switch {
 	case h.chunked:
@@ -17,7 +18,8 @@
 	return len(body) >= h.contentLength, noFault
 }
 
-// chunksComplete reports whether a chunked body has arrived with its trailer.
+// chunksComplete reports whether in starts with a complete chunked body, including its trailer. Chunks
+// of more than maxBodyBytes in total are a fault.
 func chunksComplete(in []byte) (bool, fault) {
 	for total := 0; ; {
 		size, header, f := parseChunkSize(in)
@@ -41,8 +43,9 @@
 	}
 }
 
-// parseChunkSize parses the line before a chunk. header is the line's length in bytes with its line
-// break, and zero while the line is incomplete.
+// parseChunkSize parses the line before a chunk, at the start of in. size is the chunk's length in
+// bytes; an extension after it is ignored. header is the line's length in bytes including its line
+// break, and zero if the line is incomplete.
 func parseChunkSize(in []byte) (size, header int, f fault) {
 	end := bytes.Index(in, []byte("\r\n"))
 	if end < 0 {
--- a/internal/operations/admin/caller.go
+++ b/internal/operations/admin/caller.go
@@ -9,22 +9,22 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// caller is one operator's connection.
+// caller is one operator's connection, which carries one call. Its methods run on the event loop.
 type caller struct {
 	server       *Server
 	conn         *netio.Conn
 	element      *list.Element // in the server's callers, nil once removed
-	timeout      *netio.Timer
-	sentContinue bool
-	requestDone  bool // the request is complete or invalid, and its answer is sent or under way
-	replied      bool
+	timeout      *netio.Timer  // ends the call callTimeout after the connection's start
+	sentContinue bool          // whether 100 Continue has been sent
+	requestDone  bool          // whether the request is complete, invalid or timed out; later input is discarded
+	replied      bool          // whether the answer has been written, or the connection has ended
 }
 
 // Data parses what the caller has sent so far, and answers the request once it is complete or
 // invalid.
 func (c *caller) Data(conn *netio.Conn) {
 	if c.requestDone {
-		conn.Consume(len(conn.Input())) // one call per connection: discard what follows
+		conn.Consume(len(conn.Input())) // a connection carries one call, so what follows is discarded
 		return
 	}
 	if c.element != nil {
@@ -45,16 +45,17 @@
 	}
 }
 
-// Writable does nothing: the connection itself sends what the kernel's buffer did not accept.
+// Writable does nothing, because the connection itself sends what the kernel's buffer did not accept.
 func (c *caller) Writable(*netio.Conn) {}
 
-// Closed marks the call as answered, because the connection has ended.
+// Closed marks the call as answered, so that reply writes nothing more: the connection has ended.
 func (c *caller) Closed(*netio.Conn, *netio.Error) {
 	c.replied = true
 	c.timeout.Stop()
 }
 
-// removeFromServer frees the caller's place once its connection holds no descriptor.
+// removeFromServer frees the caller's place at the server. The connection must hold no descriptor any
+// more.
 func (c *caller) removeFromServer() {
 	if c.element != nil {
 		c.server.callers.Remove(c.element)
@@ -62,7 +63,8 @@
 	}
 }
 
-// timedOut ends a call whose request was not complete within callTimeout.
+// timedOut ends a call whose request is not complete: with status 408, or without an answer if the
+// caller has sent nothing. It is called callTimeout after the connection's start, or by evict.
 func (c *caller) timedOut() {
 	if len(c.conn.Input()) == 0 && !c.requestDone {
 		c.conn.Close() // the caller has sent nothing, so it gets no answer
@@ -72,7 +74,8 @@
 	c.reply(response{status: http.StatusRequestTimeout})
 }
 
-// evict ends the call to free its place for a new caller.
+// evict ends the call at once to free its place for a new caller. If the caller has sent part of a
+// request, evict first writes an answer of status 408.
 func (c *caller) evict() {
 	if !c.conn.Ended() && len(c.conn.Input()) > 0 {
 		c.timedOut()
@@ -82,7 +85,7 @@
 	c.removeFromServer()
 }
 
-// serve answers a complete request.
+// serve answers a complete request. The answer to a HEAD request has no body.
 func (c *caller) serve(r *request) {
 	route := r.route()
 	isHead := r.method == http.MethodHead
@@ -106,8 +109,9 @@
 	}
 }
 
-// setSuspended suspends or resumes a host, and replies once the change will outlive this process, or
-// at once with status 404 if no list has named the host.
+// setSuspended suspends a host or, if suspended is false, resumes it. It replies with status 404 at
+// once if no endpoint list has named the host, and otherwise with status 200 once the change is stored
+// for the next process.
 func (c *caller) setSuspended(host string, suspended bool) {
 	verb := "resume"
 	if suspended {
@@ -122,7 +126,8 @@
 	})
 }
 
-// reply sends the answer of the call. Later replies to the same call are ignored.
+// reply writes the answer of the call and then closes the connection. Later replies to the same call
+// are ignored.
 func (c *caller) reply(r response) {
 	if c.replied || c.conn.Ended() {
 		return
--- a/internal/operations/admin/request.go
+++ b/internal/operations/admin/request.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// Bounds of a request, in bytes.
+// Bounds of a request, in bytes. A target is the second word of a request line: a path or URL.
 const (
 	maxTargetBytes       = 2 << 10
 	maxHeadBytes         = 8 << 10
 	maxBodyBytes         = 16 << 10
 	maxMethodBytes       = 16
 	versionBytes         = len("HTTP/1.1")
-	requestLineAllowance = 32 // for the method, version and blanks of a request line
+	requestLineAllowance = 32 // bounds the method, version and blanks of a request line together
 )
 
 // fault is the HTTP status of a request that can't be served, or noFault.
 type fault int
 
-// The faults that the parser finds.
+// The faults that parse returns.
 const (
 	noFault             fault = 0
 	badRequest          fault = http.StatusBadRequest
@@ -35,14 +35,14 @@
 // request is a parsed request.
 type request struct {
 	method          string
-	path            []string // its segments, percent-decoded; empty for a target that is no path
+	path            []string // the target's path segments, percent-decoded; nil if the target is not a path or URL
 	expectsContinue bool     // the caller waits for 100 Continue before it sends its body
 }
 
-// parse returns the request at the start of in, or nil while it is incomplete; expectsContinue then
-// reports whether the caller waits for 100 Continue before it sends the body. Each call parses from
-// the start of the input, which is bounded, so that the result does not depend on how the input was
-// split into reads.
+// parse returns the request at the start of in, or nil if it is incomplete or invalid. If it is
+// incomplete, expectsContinue reports whether the caller waits for 100 Continue before it sends the
+// body. If it is invalid, f is the fault. Each call parses from the start of the input, so that the
+// result does not depend on how the input was split into reads; the input is bounded.
 func parse(in []byte) (r *request, expectsContinue bool, f fault) {
 	for bytes.HasPrefix(in, []byte("\r\n")) {
 		in = in[2:] // empty lines before the request are ignored
@@ -69,8 +69,8 @@
 	return r, false, noFault
 }
 
-// checkIncompleteHead returns the fault of a head that can't become a valid one, so that its caller
-// is answered at once and not after a timeout.
+// checkIncompleteHead returns the fault of an incomplete head (request line and header fields) that
+// cannot become a valid one, so that the caller is answered at once and not after a timeout.
 func checkIncompleteHead(in []byte) fault {
 	lineEnd := bytes.IndexByte(in, '\n')
 	switch {
@@ -87,7 +87,8 @@
 	return f
 }
 
-// checkMethodStart returns badRequest if in can't become a request line.
+// checkMethodStart returns badRequest if in, which has no line break, cannot be the start of a request
+// line because its first word is not a method.
 func checkMethodStart(in []byte) fault {
 	method, _, _ := bytes.Cut(in, []byte(" "))
 	if len(method) > maxMethodBytes || !isToken(string(method)) && len(method) > 0 && string(method) != "\r" {
@@ -149,10 +150,10 @@
 // headers holds the header fields that determine where a request ends and what the caller waits
 // for.
 type headers struct {
-	contentLength   int // -1 if there is none
-	chunked         bool
-	expectsContinue bool
-	hosts           int // number of Host headers
+	contentLength   int  // bytes; -1 if there is no Content-Length
+	chunked         bool // whether the body is sent in chunks, each with its length
+	expectsContinue bool // whether the caller waits for 100 Continue before it sends its body
+	hosts           int  // number of Host headers
 }
 
 // parseHeaders parses the lines of a request's header fields. A request without a Host header is
@@ -168,7 +169,8 @@
 			return h, f
 		}
 	}
-	// A request with both lengths may end elsewhere for another parser (request smuggling).
+	// A request with both Content-Length and chunks may end elsewhere for another parser, which
+	// permits request smuggling.
 	if h.hosts > 1 || h.hosts == 0 && hostRequired || h.chunked && h.contentLength >= 0 {
 		return h, badRequest
 	}
--- a/internal/operations/admin/response.go
+++ b/internal/operations/admin/response.go
@@ -10,7 +10,7 @@
 	status   int
 	allow    methods // value of the Allow header; nil if there is none
 	body     []byte  // if nil, the status text is sent
-	omitBody bool    // Content-Length counts the body, which is not sent
+	omitBody bool    // for HEAD: the body is counted in Content-Length but not sent
 }
 
 // encode returns the response in HTTP/1.1.
--- a/internal/operations/admin/route.go
+++ b/internal/operations/admin/route.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// route identifies what a request addresses.
+// route identifies the call that a request's path addresses.
 type route int
 
 const (
@@ -40,7 +40,7 @@
 // methods lists HTTP methods.
 type methods []string
 
-// allowedMethods returns the methods that the route accepts, nil for routeUnknown.
+// allowedMethods returns the methods that the route accepts. It returns nil for routeUnknown.
 func (r route) allowedMethods() methods {
 	switch r {
 	case routeReady, routeMetrics:
@@ -54,5 +54,5 @@
 // includes reports whether m contains method.
 func (m methods) includes(method string) bool { return slices.Contains(m, method) }
 
-// String returns the value of an Allow header.
+// String returns the methods as the value of an Allow header.
 func (m methods) String() string { return strings.Join(m, ", ") }
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	callTimeout   = 2 * time.Second               // from the connection's start to the end of the request
-	maxInputBytes = maxHeadBytes + 2*maxBodyBytes // the longest request with chunk framing
+	callTimeout   = 2 * time.Second               // from the connection's start to the last byte of the request
+	maxInputBytes = maxHeadBytes + 2*maxBodyBytes // of a connection; the chunks' lengths may use as much as their content
 )
 
 // Proxy carries out the calls. Its methods are called on the event loop.
@@ -21,13 +21,13 @@
 	AcceptsClients() bool
 	// Metrics returns all metrics as text.
 	Metrics() []byte
-	// SetSuspended suspends a host, so that it gets no new requests, or resumes it. It calls done
-	// with false at once if no list has ever named the host, and otherwise with true once the
-	// change will outlive this process.
+	// SetSuspended suspends the host id, so that it gets no new requests, or resumes it if suspended
+	// is false. It calls done on the event loop: with false at once if no endpoint list has named
+	// the host, and otherwise with true once the change is stored for the next process.
 	SetSuspended(id string, suspended bool, done func(known bool))
 }
 
-// Server accepts operators' calls. It belongs to the event loop.
+// Server accepts operators' calls. Its connections are served on the event loop.
 type Server struct {
 	loop    *netio.Loop
 	proxy   Proxy
@@ -35,8 +35,8 @@
 	addr    net.Addr
 }
 
-// Listen returns a server that accepts calls on addr, from at most capacity callers at a time. A
-// caller beyond that evicts the one that has sent nothing for the longest time.
+// Listen returns a server that accepts calls on the address addr, from at most capacity callers at a
+// time. A caller beyond that evicts the one that has sent nothing for the longest time.
 func Listen(l *netio.Loop, proxy Proxy, addr string, capacity int) (*Server, error) {
 	s := &Server{loop: l, proxy: proxy, callers: netio.NewBoundedConns(capacity, (*caller).evict)}
 	var err error
@@ -47,8 +47,8 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.addr }
 
-// accept returns the handler of a new connection. It evicts another caller if the server has no
-// place left.
+// accept returns the handler of a new connection and starts its timeout. It evicts another caller if
+// the server already has as many as its capacity.
 func (s *Server) accept(conn *netio.Conn) netio.Handler {
 	c := &caller{server: s, conn: conn}
 	conn.OnDescriptorFree(c.removeFromServer)
--- a/internal/operations/balancerconfig/decode.go
+++ b/internal/operations/balancerconfig/decode.go
@@ -32,8 +32,8 @@
 	"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-// Decode decodes the settings object. It ignores unknown keys. For an invalid value it returns an
-// error that names it.
+// Decode decodes the settings object, which is JSON, into a balancer's configuration. It ignores
+// unknown keys. For an invalid value it returns an error that contains the value.
 func Decode(raw []byte) (balancer.Config, error) {
 	var s settings
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -42,7 +42,7 @@
 	c := s.config()
 	c.LoadField, c.QueueField = s.Report.fieldPositions()
 	switch s.Discovery {
-	case discoveryAutomatic, "":
+	case discoveryAutomatic, "": // lists are pushed, so PollsDiscovery stays false
 	case discoverySubscribe:
 		c.PollsDiscovery = true
 	default:
@@ -57,7 +57,8 @@
 	return c, nil
 }
 
-// config returns the configuration without the values that have to be checked or combined.
+// config returns the configuration without the values that Decode has to check or combine: classes,
+// tenants, report fields and discovery.
 func (s *settings) config() balancer.Config {
 	return balancer.Config{
 		Instance:                s.Instance,
@@ -85,13 +86,13 @@
 		PassThrough:             s.Extra.Mode == passThrough,
 		ParkDuration:            s.Extra.ParkDuration,
 		Prices:                  balancer.Prices(s.Prices),
-		EjectionInitial:         -1, // derived from the deadlines
+		EjectionInitial:         -1, // the balancer derives both durations from the deadlines
 		EjectionMax:             -1,
 	}
 }
 
-// fieldPositions returns the positions of the load and of the queue length in a report, -1 for a
-// value that is not reported.
+// fieldPositions returns the positions, from 0, of the load and of the queue length among the fields
+// of a load report. The position of a value that is not reported is -1.
 func (r *loadReport) fieldPositions() (load, queue int) {
 	if r.How == noLoadReports {
 		return -1, -1
@@ -103,8 +104,9 @@
 	return load, queue
 }
 
-// classes returns the classes with their latency objectives for messages, which are by class in
-// Extra.
+// classes returns the classes of requests. Their latency objectives for messages come from
+// Extra.MessageObjectives, which is in the same order and may be shorter. For an unknown value it
+// returns an error.
 func (s *settings) classes() ([]balancer.Class, error) {
 	var classes []balancer.Class
 	for i, entry := range s.Classes {
@@ -127,7 +129,8 @@
 	return classes, nil
 }
 
-// tenants returns the tenants with their connection quotas, which are by tenant in Extra.
+// tenants returns the tenants. Their connection quotas come from Extra.ConnectionQuotas, which is in the
+// same order and may be shorter.
 func (s *settings) tenants() []balancer.Tenant {
 	var tenants []balancer.Tenant
 	for i, entry := range s.Tenants {
--- a/internal/operations/balancerconfig/settings.go
+++ b/internal/operations/balancerconfig/settings.go
@@ -1,7 +1,8 @@
 package balancerconfig
 
 // settings is the part of the platform's settings object that is used. The tags are the protocol's
-// names. Durations are in nanoseconds.
+// names. Durations are in nanoseconds. package balancer documents the meaning of the values in its
+// type Config.
 type settings struct {
 	Instance        int        `json:"me"`
 	Instances       int        `json:"peers_total"`
@@ -52,7 +53,8 @@
 	MaxAttempts     int   `json:"try_limit"`
 }
 
-// contract holds the guarantees between hosts and balancers.
+// contract holds the guarantees that hosts and balancers give each other, for example how much a host
+// that has just started can serve.
 type contract struct {
 	AnswerSlack             int64   `json:"answer_slack"`
 	SlowStartFloor          float64 `json:"cold_from"`
@@ -63,14 +65,16 @@
 	SlowStartDuration       int64   `json:"warm_up"`
 }
 
-// loadReport specifies how hosts report their load, and the names of a report's fields in order.
+// loadReport specifies how hosts report their load ("none" if they do not), and the names of a report's
+// fields in order.
 type loadReport struct {
 	How    string   `json:"how"`
 	Fields []string `json:"fields"`
 }
 
-// extra holds further settings. MessageObjectives is by class and ConnectionQuotas by tenant, in
-// the order of Classes and Tenants.
+// extra holds further settings. MessageObjectives has the latency objective for messages of each class,
+// and ConnectionQuotas the quota of open connections of each tenant, in the order of settings.Classes
+// and settings.Tenants.
 type extra struct {
 	Mode              string    `json:"mode"`
 	ParkDuration      int64     `json:"park"`
--- a/internal/operations/certs/certs.go
+++ b/internal/operations/certs/certs.go
@@ -27,7 +27,7 @@
 	Chain []*x509.Certificate // issuers of Cert, the direct one first, without the root
 }
 
-// Spec specifies the content of a certificate.
+// Spec specifies the content of a certificate, and the kind of its key.
 type Spec struct {
 	Name      string   // common name
 	Hosts     []string // DNS names, addresses and URIs
@@ -60,8 +60,8 @@
 	return nil, fmt.Errorf("key kind %q, expected one of %s", kind, strings.Join(KeyKinds, ", "))
 }
 
-// Issue issues a certificate for spec with a new key. With a nil issuer the certificate is
-// self-signed.
+// Issue issues a certificate for spec with a new key of the kind spec.Key. If issuer is nil, the
+// certificate is self-signed.
 func Issue(issuer *Pair, spec Spec) (*Pair, error) {
 	key, err := NewKey(spec.Key)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return IssueFor(issuer, spec, key)
 }
 
-// IssueFor is like Issue, but for an existing key.
+// IssueFor is like Issue, but uses an existing key and ignores spec.Key.
 func IssueFor(issuer *Pair, spec Spec, key crypto.Signer) (*Pair, error) {
 	template, err := spec.template()
 	if err != nil {
@@ -91,8 +91,8 @@
 	return &Pair{Cert: cert, Key: key, Chain: issuer.chainBelow()}, nil
 }
 
-// chainBelow returns the chain of a certificate that p issues, without the root. It returns nil if
-// p is nil or self-signed.
+// chainBelow returns the chain of a certificate that p issues: p's certificate and its issuers, without
+// the root. It returns nil if p is nil or self-signed.
 func (p *Pair) chainBelow() []*x509.Certificate {
 	if p == nil || p.Cert.Subject.String() == p.Cert.Issuer.String() {
 		return nil
@@ -100,7 +100,7 @@
 	return append([]*x509.Certificate{p.Cert}, p.Chain...)
 }
 
-const serialBits = 126 // random bits of a serial number
+const serialBits = 126 // number of random bits in a serial number
 
 // template returns the certificate that is to be signed.
 func (s *Spec) template() (*x509.Certificate, error) {
@@ -157,8 +157,9 @@
 	return nil
 }
 
-// NewRevocationList returns a revocation list of ca for certs, in PEM. It is valid from the time
-// from, which is also the time of the revocations, until the time until.
+// NewRevocationList returns a list, in PEM and signed by ca, that revokes certs. number orders the lists
+// of one authority. The list is valid from the time from, which is also the time of the revocations,
+// until the time until.
 func NewRevocationList(ca *Pair, number int64, from, until time.Time, certs ...*x509.Certificate) ([]byte, error) {
 	list := &x509.RevocationList{Number: big.NewInt(number), ThisUpdate: from, NextUpdate: until}
 	for _, c := range certs {
--- a/internal/operations/certs/certs_test.go
+++ b/internal/operations/certs/certs_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// newPair returns a certificate that is valid now, with its key.
+// newPair returns a certificate for spec with a new key. It is valid from an hour ago for two hours. If
+// issuer is nil, it is self-signed.
 func newPair(t testing.TB, issuer *Pair, spec Spec) *Pair {
 	t.Helper()
 	now := time.Now()
--- a/internal/operations/certs/describe.go
+++ b/internal/operations/certs/describe.go
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// The shortest keys that are accepted, in bits.
 const (
 	minRSABits = 2048
 	minECBits  = 256
@@ -29,7 +30,7 @@
 		if k.Curve.Params().BitSize < minECBits {
 			return fmt.Sprintf("EC key of %d bits, expected %d at least", k.Curve.Params().BitSize, minECBits)
 		}
-	case ed25519.PublicKey:
+	case ed25519.PublicKey: // always strong enough
 	default:
 		return fmt.Sprintf("key of kind %T", c.PublicKey)
 	}
@@ -77,7 +78,8 @@
 	return all
 }
 
-// validity returns whether a certificate is valid at the time now, and the time left if it is.
+// validity returns a text for operators: the time left if a certificate is valid at the time now, and
+// otherwise that it is not yet valid or has expired.
 func validity(c *x509.Certificate, now time.Time) string {
 	switch {
 	case now.Before(c.NotBefore):
--- a/internal/operations/certs/files.go
+++ b/internal/operations/certs/files.go
@@ -43,9 +43,9 @@
 	return pem.EncodeToMemory(block), nil
 }
 
-// Save writes the certificate and the key, each file completely or not at all. It encrypts the key
-// if password is not empty. The key comes first, since a watcher that sees a new certificate
-// without its key would find that they do not match.
+// Save writes the certificate with its chain, and the key, each file completely or not at all. It
+// encrypts the key if password is not empty. It writes the key first, because a process that watches
+// the certificate's file would otherwise read the new certificate with the previous key.
 func (p *Pair) Save(certFile, keyFile string, password []byte) error {
 	key, err := p.KeyPEM(password)
 	if err != nil {
@@ -57,7 +57,8 @@
 	return ReplaceFile(certFile, p.PEM(), 0o644)
 }
 
-// ReplaceFile writes a file atomically: readers see either the previous or the complete new file.
+// ReplaceFile writes a file atomically: readers see either the previous or the complete new file. The
+// new file has the permissions mode.
 func ReplaceFile(path string, data []byte, mode fs.FileMode) error {
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+".*")
 	if err != nil {
@@ -70,7 +71,8 @@
 	return os.Rename(f.Name(), path)
 }
 
-// writeSynced writes a file, syncs it to disk and closes it.
+// writeSynced writes data to f, sets its permissions to mode, syncs it to disk and closes it. It closes
+// f even after an error.
 func writeSynced(f *os.File, data []byte, mode fs.FileMode) error {
 	_, err := f.Write(data)
 	if err == nil {
@@ -166,8 +168,9 @@
 	return key, nil
 }
 
-// LoadPair reads a certificate with its chain, and its key, and checks that the key is the
-// certificate's. See LoadKey for passwordFile.
+// LoadPair reads a certificate with its chain from certFile, in which the certificate is the first, and
+// its key from keyFile. It returns an error if the key is not the certificate's. passwordFile is the
+// file with the key's password, or "" if the key is not encrypted.
 func LoadPair(certFile, keyFile, passwordFile string) (*Pair, error) {
 	data, err := ReadFile(certFile)
 	if err != nil {
--- a/internal/operations/logging/logging.go
+++ b/internal/operations/logging/logging.go
@@ -19,8 +19,8 @@
 type Options struct {
 	Format       string        // text or json; any other value means text
 	Level        string        // least level written: debug, info, warn or error; others mean info
-	MaxPerWindow int           // lines of one kind that are written within Window; zero means no limit
-	Window       time.Duration // time over which lines are counted
+	MaxPerWindow int           // most lines of one kind that are written within Window; zero means no limit
+	Window       time.Duration // time after which the lines of a kind are counted anew
 }
 
 // Formats lists the valid formats.
@@ -47,7 +47,7 @@
 // before they assemble a line, which would cost CPU time on every request.
 func DebugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
-// New returns a handler that writes to w.
+// New returns a handler that writes each line to w by one call of Write.
 func New(w io.Writer, o Options) slog.Handler {
 	var level slog.Level
 	level.UnmarshalText([]byte(o.Level)) // an unknown level leaves info
--- a/internal/operations/logging/logging_test.go
+++ b/internal/operations/logging/logging_test.go
@@ -47,6 +47,7 @@
 func TestRepeats(t *testing.T) {
 	var b bytes.Buffer
 	h := New(&b, Options{Format: "text", Level: "info", MaxPerWindow: 2, Window: time.Second})
+	// handle logs an event with a reason at the time at after a fixed start.
 	handle := func(at time.Duration, event, reason string) {
 		r := slog.NewRecord(time.Unix(1e9, 0).Add(at), slog.LevelInfo, event, 0)
 		r.Add("reason", reason)
--- a/internal/operations/logging/nonblocking.go
+++ b/internal/operations/logging/nonblocking.go
@@ -8,18 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxLineBytes is the number of bytes that a pipe which is ready for writing accepts without
-// blocking. Longer lines are truncated.
+// maxLineBytes is the length of the longest line that is written whole; longer lines are truncated. A
+// pipe that poll reports as writable accepts this many bytes without blocking.
 const maxLineBytes = 4096
 
-// NonBlockingWriter writes lines to a file or a pipe, and drops lines that would block: the reader
-// of the log may stop reading, and no request may wait for it. Dropped lines are counted, and their
-// number is reported before the next line that is written. It is safe for concurrent use.
+// NonBlockingWriter writes lines to a file or a pipe. It drops a line if writing it would block,
+// because the reader of the log may stop reading, and no request may wait for that reader. Dropped
+// lines are counted, and their number is written before the next line. A NonBlockingWriter is safe for
+// concurrent use.
 type NonBlockingWriter struct {
 	mutex      sync.Mutex
 	file       *os.File
-	descriptor int32
-	dropped    int // lines dropped since the last report
+	descriptor int32 // of file
+	dropped    int   // lines dropped since their number was last written
 }
 
 // NewNonBlockingWriter returns a writer to file, which may be a pipe.
@@ -27,7 +28,8 @@
 	return &NonBlockingWriter{file: file, descriptor: int32(file.Fd())}
 }
 
-// Write writes or drops one line. It returns an error only if writing to the file fails.
+// Write writes or drops one line, which must end in a line break. It returns the line's length if the
+// line was dropped, and an error only if writing to the file fails.
 func (w *NonBlockingWriter) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/operations/logging/nonblocking_test.go
+++ b/internal/operations/logging/nonblocking_test.go
@@ -24,6 +24,7 @@
 		}
 	}
 	dropped := writer.dropped
+	// A pipe has 16 pages, so that it holds at least 16 lines.
 	if dropped == 0 || dropped > lines-16 {
 		t.Fatalf("%d of %d lines were dropped, want 1 to %d", dropped, lines, lines-16)
 	}
--- a/internal/operations/logging/repeat.go
+++ b/internal/operations/logging/repeat.go
@@ -7,16 +7,18 @@
 	"time"
 )
 
-// maxKinds bounds the table of kinds of lines. Further kinds share one count.
+// maxKinds bounds the table of kinds of lines. Lines are of one kind if they have the same event and
+// the same values of kindAttrs. Kinds beyond maxKinds share one count.
 const maxKinds = 256
 
-// otherKinds is the key of the kinds that share one count. No event has this name.
+// otherKinds is the key of the count that the kinds beyond maxKinds share. No event has this name.
 const otherKinds = "\x00others"
 
 // kindAttrs lists the attributes whose values distinguish the kinds of lines of one event.
 var kindAttrs = map[string]bool{"host": true, "reason": true, "where": true, "effect": true, "text": true, "why": true}
 
-// repeatHandler passes records to another handler and leaves out lines that repeat.
+// repeatHandler passes records to another handler, next, and leaves out those beyond the limiter's
+// limit.
 type repeatHandler struct {
 	next    slog.Handler
 	limiter *repeatLimiter
@@ -27,8 +29,8 @@
 	return h.next.Enabled(c, level)
 }
 
-// Handle writes a record unless the limit of its kind is reached, and reports how many lines were
-// left out in windows that have ended.
+// Handle writes a record unless the limit of its kind is reached. Before that it writes a line for each
+// kind whose window has ended, with the number of lines that were left out in that window.
 func (h *repeatHandler) Handle(c context.Context, r slog.Record) error {
 	key := r.Message
 	r.Attrs(func(a slog.Attr) bool {
@@ -59,13 +61,14 @@
 	return &repeatHandler{h.next.WithGroup(g), h.limiter}
 }
 
-// repeatLimiter counts the lines of each kind within a window. It is safe for concurrent use.
+// repeatLimiter counts the lines of each kind. A kind's window starts with its first line; after the
+// window has ended, the next line starts another. A repeatLimiter is safe for concurrent use.
 type repeatLimiter struct {
 	mutex        sync.Mutex
-	maxPerWindow int // lines of one kind within the window
-	window       time.Duration
-	kinds        map[string]*kindCount
-	sweptAt      time.Time
+	maxPerWindow int                   // most lines of one kind within a window
+	window       time.Duration         // length of a window
+	kinds        map[string]*kindCount // by event and the values of kindAttrs, or otherKinds
+	sweptAt      time.Time             // when removeEnded last looked through kinds
 }
 
 // newRepeatLimiter returns a limiter with no counts.
@@ -75,20 +78,21 @@
 
 // kindCount counts the lines of one kind in its current window.
 type kindCount struct {
-	event     string
-	startedAt time.Time
-	written   int
-	leftOut   int
+	event     string    // "others" for the count that the kinds beyond maxKinds share
+	startedAt time.Time // of the window
+	written   int       // lines written in the window
+	leftOut   int       // lines left out in the window
 }
 
-// windowEnded reports whether the window has ended. A clock that was set back ends it too.
+// windowEnded reports whether the kind's window, which lasts window, has ended. A clock that was set
+// back before the window's start ends it too.
 func (k *kindCount) windowEnded(now time.Time, window time.Duration) bool {
 	age := now.Sub(k.startedAt)
 	return age >= window || age < 0
 }
 
-// allow reports whether a line of the kind key may be written. ended lists the kinds whose window
-// has ended and of which lines were left out.
+// allow reports whether a line of the kind key may be written, and counts it as written or left out.
+// ended lists the counts of kinds whose window has ended and of which lines were left out.
 func (l *repeatLimiter) allow(key, event string, now time.Time) (write bool, ended []kindCount) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/operations/logging/text.go
+++ b/internal/operations/logging/text.go
@@ -10,21 +10,22 @@
 	"unicode"
 )
 
-const lineCapacity = 256 // bytes; most lines fit
+const lineCapacity = 256 // bytes allocated for a line at first; most lines fit
 
 // textHandler writes records as lines of key=value.
 type textHandler struct {
 	writer io.Writer
 	level  slog.Level
 	mutex  *sync.Mutex // protects writer
-	attrs  string      // attributes of the logger, as written
-	group  string      // names of the open groups, each followed by a dot
+	attrs  string      // attributes added by WithAttrs, as written
+	group  string      // names added by WithGroup, each followed by a dot
 }
 
 // Enabled reports whether lines of the level are written.
 func (t *textHandler) Enabled(_ context.Context, l slog.Level) bool { return l >= t.level }
 
-// Handle writes a record as one line.
+// Handle writes a record as one line: the time in UTC, the event, the attributes, and the level unless
+// it is info.
 func (t *textHandler) Handle(_ context.Context, r slog.Record) error {
 	b := make([]byte, 0, lineCapacity)
 	if !r.Time.IsZero() {
--- a/internal/operations/maintenance/registry.go
+++ b/internal/operations/maintenance/registry.go
@@ -1,6 +1,7 @@
 // Package maintenance records which upstream hosts the operators have suspended, and determines
-// when a resumed host counts as started. It does no I/O and reads no clock. A suspension
-// belongs to a host ID, lasts until a call ends it, and outlives the host's entry in the list.
+// when a resumed host counts as started. It does no I/O and reads no clock. A suspended host gets no new
+// requests. A suspension belongs to a host ID, lasts until an operator's call ends it, and outlives the
+// host's entry in the endpoint list.
 package maintenance
 
 import (
@@ -8,15 +9,16 @@
 	"strings"
 )
 
-// maxKnownHosts bounds how many host IDs are remembered as once listed.
+// maxKnownHosts limits the number of host IDs that are remembered after an endpoint list has named them.
 const maxKnownHosts = 4096
 
-// Registry holds the suspensions and the host IDs that a call may name.
+// Registry holds the suspensions and the host IDs that an operator's call may name. It is not safe for
+// concurrent use.
 type Registry struct {
-	suspendedLocally   map[string]int64 // by calls at this proxy; start in Unix nanoseconds
-	suspendedFleetWide map[string]int64 // by the fleet's list; start in Unix nanoseconds
-	known              map[string]bool
-	knownOrder         []string // oldest first
+	suspendedLocally   map[string]int64 // start (Unix nanoseconds) by host ID, of suspensions by calls at this proxy
+	suspendedFleetWide map[string]int64 // start (Unix nanoseconds) by host ID, of suspensions at all proxies
+	known              map[string]bool  // by host ID
+	knownOrder         []string         // the IDs in known, in the order in which they were added
 }
 
 // New returns an empty registry.
@@ -24,8 +26,8 @@
 	return &Registry{suspendedLocally: map[string]int64{}, suspendedFleetWide: map[string]int64{}, known: map[string]bool{}}
 }
 
-// HostListed records that a list has named the host. Past maxKnownHosts the oldest host that is not
-// suspended is forgotten.
+// HostListed records that an endpoint list has named the host id. If maxKnownHosts are known, it forgets
+// the one added first that is not suspended.
 func (r *Registry) HostListed(id string) {
 	if r.known[id] {
 		return
@@ -37,8 +39,8 @@
 	r.knownOrder = append(r.knownOrder, id)
 }
 
-// forgetOldestResumed forgets the oldest host that is not suspended. Suspended hosts stay known, so
-// that a call can resume them.
+// forgetOldestResumed forgets the host that was added first of those that are not suspended. Suspended
+// hosts stay known, so that a call can resume them.
 func (r *Registry) forgetOldestResumed() {
 	if i := slices.IndexFunc(r.knownOrder, func(id string) bool { return !r.Suspended(id) }); i >= 0 {
 		delete(r.known, r.knownOrder[i])
@@ -46,14 +48,15 @@
 	}
 }
 
-// Known reports whether a list has named the host and it is still remembered.
+// Known reports whether an endpoint list has named the host and the host is still remembered.
 func (r *Registry) Known(id string) bool { return r.known[id] }
 
 // KnownHosts returns the IDs of the hosts that a call may name, the oldest first.
 func (r *Registry) KnownHosts() []string { return slices.Clone(r.knownOrder) }
 
-// SetSuspended suspends a host at this proxy, or ends its suspension here, from the time now in
-// Unix nanoseconds. It reports whether that changed anything.
+// SetSuspended suspends the host id at this proxy from the time now, in Unix nanoseconds, on. If
+// suspended is false, it ends the host's suspension at this proxy. It reports whether that changed
+// anything. A suspended host becomes known.
 func (r *Registry) SetSuspended(id string, suspended bool, now int64) (changed bool) {
 	if _, wasSuspended := r.suspendedLocally[id]; wasSuspended == suspended {
 		return false
@@ -69,8 +72,8 @@
 
 // SetFleetSuspensions replaces the list of hosts that are suspended fleet-wide. now, in Unix
 // nanoseconds, is when new suspensions start. It returns the IDs of the hosts that are suspended or
-// resumed by the change, sorted. A host is suspended while either list has it: a call at this proxy
-// does not end a fleet-wide suspension.
+// resumed by the change, sorted. A host is suspended while it is suspended at this proxy or fleet-wide:
+// a call at this proxy does not end a fleet-wide suspension.
 func (r *Registry) SetFleetSuspensions(ids []string, now int64) (changed []string) {
 	next := map[string]int64{}
 	for _, id := range ids {
@@ -103,8 +106,8 @@
 	return locally || fleetWide
 }
 
-// Suspension returns a host's suspension, the earlier one if the host is suspended both at this
-// proxy and fleet-wide. Since is zero if the host is not suspended.
+// Suspension returns the suspension of the host id, the earlier one if the host is suspended both at
+// this proxy and fleet-wide. Suspension.Since is zero if the host is not suspended.
 func (r *Registry) Suspension(id string) Suspension {
 	since, locally := r.suspendedLocally[id]
 	if at, fleetWide := r.suspendedFleetWide[id]; fleetWide && (!locally || at < since) {
--- a/internal/operations/maintenance/registry_test.go
+++ b/internal/operations/maintenance/registry_test.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// TestKnownIsBounded tests that hosts that come and go for months do not fill the memory, and that
-// a suspended host among them stays known.
+// TestKnownIsBounded tests that the known hosts do not fill the memory if hosts come and go for months,
+// and that a suspended host among them stays known.
 func TestKnownIsBounded(t *testing.T) {
 	registry := New()
 	registry.HostListed("first")
--- a/internal/operations/maintenance/suspension.go
+++ b/internal/operations/maintenance/suspension.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// StartUncertainty is how long after a resumption, in nanoseconds, discovery may not have reported
-// yet that the host was restarted.
+// StartUncertainty is the longest time, in nanoseconds, from the resumption of a host until discovery
+// reports a restart of the host during its suspension.
 const StartUncertainty = int64(6 * time.Second)
 
 // Suspension is the suspension of a host, which gets no new requests while it lasts.
 type Suspension struct {
-	ID    string `json:"ID"`
-	Since int64  `json:"Since"` // time of the first call, Unix nanoseconds
+	ID    string `json:"ID"`    // of the host
+	Since int64  `json:"Since"` // time of the first call that suspended the host, in Unix nanoseconds
 }
 
-// StartOnResume returns when a host that is resumed now counts as started, and whether that is a
-// guess, which holds for StartUncertainty at most. listed is the latest start that discovery has
-// reported. Operators suspend hosts to restart them. A host with no reported start since its
-// suspension may be warming up, and counts as such until discovery would have reported the restart.
-// Times are Unix nanoseconds.
+// StartOnResume returns the time at which a host that is resumed at the time now counts as started.
+// listed is the latest start of the host that discovery has reported. Operators suspend hosts to restart
+// them, so a host without a reported start since its suspension may be warming up. Its start is then
+// guessed as now, and guess is true; the caller must use a guess for StartUncertainty at most. Times are
+// Unix nanoseconds.
 func (s Suspension) StartOnResume(listed, now int64) (start int64, guess bool) {
 	if listed >= s.Since {
 		return listed, false
@@ -28,14 +28,16 @@
 }
 
 const (
-	// migrationSpread is the time over which connections migrate off a suspended host: short,
-	// because a restart may follow soon, but not a moment in which all of them migrate at once.
+	// migrationSpread is the time over which connections migrate off a suspended host. It is short,
+	// because operators may restart the host soon, but long enough that not all connections migrate
+	// at once.
 	migrationSpread = time.Second
-	migrationSlots  = 1000
+	migrationSlots  = 1000 // number of different delays within migrationSpread
 )
 
-// MigrationDelay returns how long after its host's suspension a connection migrates. The delay is a
-// hash of the request's ID, so that the migrations of all proxies together are spread evenly,
+// MigrationDelay returns the time from the suspension of a host until a connection at it migrates: at
+// least 0 and less than migrationSpread. request is the ID of the connection's request. The delay is
+// derived from a hash of the ID, so that the migrations at all proxies together are spread evenly,
 // however few connections each proxy has.
 func MigrationDelay(request string) time.Duration {
 	h := fnv.New32a()
--- a/internal/operations/metrics/metrics.go
+++ b/internal/operations/metrics/metrics.go
@@ -1,6 +1,7 @@
-// Package metrics counts for the operators how each request ended and how many attempts were
-// written completely. It has no clock and no I/O. The proxy core calls it at the one place where a
-// request ends or an attempt is written, and the admin interface requests the text.
+// Package metrics counts for the operators how each request ended and how many attempts, which are
+// requests to an upstream host, were written completely. It has no clock and no I/O. The proxy core
+// calls it at the one place where a request ends or an attempt is written, and the admin interface
+// requests the text.
 package metrics
 
 import "strconv"
@@ -17,7 +18,7 @@
 	ShuttingDown              // rejected because the proxy shuts down
 	Failed                    // failed by the decision module, or an earlier connection was not restored
 	Unanswered                // the decision module timed out or panicked; the client got ERR
-	InvalidRequest            // unknown tenant, or an ID that is in use; the client got ERR
+	InvalidRequest            // unknown tenant, or a request ID that is in use; the client got ERR
 	ClientLeft                // the client closed the connection before its answer
 	endKinds                  // number of kinds
 )
@@ -29,12 +30,11 @@
 	success counter = iota
 	overload
 	failure
-	counterKinds         // number of counters
-	uncounted    counter = -1
+	counterKinds              // number of counters
+	uncounted    counter = -1 // for ends that no counter counts
 )
 
 // counterOf maps each end to its counter. Clients that left before their answer are not counted.
-// First lines that name no class of the settings have no class and are not counted either.
 var counterOf = [endKinds]counter{Established: success, Adopted: success, Rejected: overload, OverCapacity: overload, ShuttingDown: overload,
 	Failed: failure, Unanswered: failure, InvalidRequest: failure, ClientLeft: uncounted}
 
@@ -43,8 +43,8 @@
 // Table holds the counts since the process started.
 type Table struct {
 	classes    []string
-	endCounts  [][counterKinds]int64 // by class
-	dispatched int64
+	endCounts  [][counterKinds]int64 // by class, as an index into classes, and by counter
+	dispatched int64                 // attempts written completely
 }
 
 // New returns a table for the classes of the settings, in their order.
@@ -52,8 +52,8 @@
 	return &Table{classes: classes, endCounts: make([][counterKinds]int64, len(classes))}
 }
 
-// CountEnd counts the end of a request. class is an index into the classes passed to New. An end
-// with any other class is not counted.
+// CountEnd counts the end of a request. class is an index into the classes passed to New. An end with
+// any other class is not counted; that is the case for a request that names no class of the settings.
 func (t *Table) CountEnd(class int, e End) {
 	if c := counterOf[e]; c != uncounted && class >= 0 && class < len(t.endCounts) {
 		t.endCounts[class][c]++
@@ -70,7 +70,7 @@
 	Disabled   int // of these, suspended by the operators or ejected by the decision module
 }
 
-// Text returns all metrics, one per line, in a fixed order.
+// Text returns all metrics, one name=value per line, in a fixed order.
 func (t *Table) Text(g Gauges) []byte {
 	var out []byte
 	line := func(v int64, name ...string) {
--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -24,17 +24,18 @@
 	Listen           string // host:port for clients
 	Discovery        string // host:port of discovery
 	Admin            string // IP:port for operators' calls; "" means no admin interface
-	Seed             int64
+	Seed             int64  // of the balancer's random numbers
 	Limits           Limits
 	CachedList       proxy.WatchEvent // the endpoint list in the file
 	Settings         balancer.Config
-	DelayInLoad      bool // hosts report a connection's load and their message delay in the same form
+	DelayInLoad      bool // whether hosts report a connection's load and their message delay in the same form
 	Peers            peers.Addresses
 	ReportFields     []string // the fields of a load report, in order; empty if hosts send none
-	ReportsInAnswers bool     // load reports follow answers too
+	ReportsInAnswers bool     // whether hosts send load reports with their answers
 }
 
-// Limits holds the platform's limits of a proxy. A zero limit is unknown.
+// Limits holds the platform's limits of a proxy. A limit of zero or less means that none is known, and
+// defaults apply.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"` // MiB
@@ -49,7 +50,7 @@
 
 // Load reads the file that NODE_CONFIG names. env returns an environment variable, or "" if it is
 // not set. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_ADMIN_ADDR override the file if they are
-// set: they equal its values unless an operator wants them to differ.
+// set. The platform sets them to the file's values; an operator may set others.
 func Load(env func(string) string) (*Config, error) {
 	path := env("NODE_CONFIG")
 	if path == "" {
@@ -93,7 +94,8 @@
 	} `json:"report"`
 }
 
-// Parse parses the bytes of the file; env is as in Load. Its errors name the field that is invalid.
+// Parse parses the content of the file that NODE_CONFIG names. env returns an environment variable, or
+// "" if it is not set; variables override the file as in Load. Errors name the field that is invalid.
 func Parse(data []byte, env func(string) string) (*Config, error) {
 	var f configFile
 	if err := json.Unmarshal(data, &f); err != nil {
@@ -164,7 +166,8 @@
 	return err == nil && n != 0
 }
 
-// parseSettings parses the platform's settings object.
+// parseSettings parses the platform's settings object and sets Settings, DelayInLoad, ReportFields and
+// ReportsInAnswers.
 func (c *Config) parseSettings(data json.RawMessage) (err error) {
 	if len(data) == 0 {
 		return ErrNoSettings
--- a/internal/operations/platform/config_test.go
+++ b/internal/operations/platform/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// validConfig is a valid configuration file, which tests change.
+// validConfig is the content of a valid configuration file. Tests change it by replacing parts.
 const validConfig = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ffffffffffffffff",
 "limits":{"cores":0.5,"memory_mb":192,"sockets":1024},"known":{"rev":7,"all":true,"targets":[]},
 "settings":{"peers_total":1,"bounds":{"try_limit":5},"lanes":[{"name":"c","on_time":1,"deadline":2,"semantics":"read_like"}],
--- a/internal/operations/platform/limits.go
+++ b/internal/operations/platform/limits.go
@@ -1,6 +1,7 @@
 package platform
 
-// Defaults that apply if the platform sets no limit: numbers of connections, and bytes of memory.
+// Defaults that apply if the platform sets no limit. Unless noted otherwise they are numbers of
+// connections. defaultDials and defaultAdminCallers also bound the numbers derived from a limit.
 const (
 	defaultDials        = 32
 	defaultIdleClients  = 1024
@@ -15,16 +16,18 @@
 // accepted but not handled yet.
 const reservedDescriptors = 24
 
-// heapShare is the share of the memory limit that the heap may use: stacks, the runtime's own
-// structures and the files of a private $TMPDIR count against the limit too.
+// heapShare is the fraction of the platform's memory limit that the garbage collector's limit is set to.
+// Stacks, the runtime's own structures and the files of a private $TMPDIR count against the platform's
+// limit too.
 const heapShare = 0.7
 
-// HotRestartDescriptors returns how many descriptors a second process of this proxy needs in
-// addition to those of its clients.
+// HotRestartDescriptors returns the number of file descriptors that a second process of this proxy, in
+// a hot restart, needs in addition to those of its clients.
 func (c *Config) HotRestartDescriptors() int { return reservedDescriptors + c.MaxAdminCallers() }
 
-// MaxDials returns how many dials may be in progress at a time. Each may hold a descriptor of its
-// own, because a dial may outlast the request that dropped it.
+// MaxDials returns how many dials, which are connects to hosts, may be in progress at a time. Their
+// descriptors are counted apart from the clients', because a dial may outlast the request that it was
+// for.
 func (c *Config) MaxDials() int {
 	if c.Limits.Sockets <= 0 {
 		return defaultDials
@@ -40,8 +43,8 @@
 	return max(8, c.Limits.Sockets/8)
 }
 
-// MaxAdminCallers returns how many operators' calls may be connected, zero without an admin
-// interface.
+// MaxAdminCallers returns how many operators may be connected to the admin interface. It returns 0 if
+// there is none.
 func (c *Config) MaxAdminCallers() int {
 	switch {
 	case c.Admin == "":
@@ -52,7 +55,7 @@
 	return min(defaultAdminCallers, max(4, c.Limits.Sockets/32))
 }
 
-// MaxHealthChecks returns how many connections may be open for health checks of hosts, zero if
+// MaxHealthChecks returns how many connections may be open for health checks of hosts. It returns 0 if
 // hosts may not be checked or send no load reports.
 func (c *Config) MaxHealthChecks() int {
 	switch {
@@ -73,12 +76,12 @@
 	return max(1, (c.Limits.Sockets-reservedDescriptors-c.MaxDials()-c.MaxIdleClients()-c.MaxAdminCallers()-c.MaxHealthChecks())/2)
 }
 
-// MaxThreads returns how many threads may run Go code: more threads than cores would only add
-// switching.
+// MaxThreads returns how many threads may run Go code: the number of cores rounded down, at least 1.
+// More threads than cores would only add switching.
 func (c *Config) MaxThreads() int { return max(1, int(c.Limits.Cores)) }
 
-// MemoryLimit returns the soft memory limit of the garbage collector, in bytes. Past the platform's
-// limit the proxy is killed.
+// MemoryLimit returns the soft memory limit of the garbage collector, in bytes. It is below the
+// platform's limit, beyond which the platform kills the proxy.
 func (c *Config) MemoryLimit() int64 {
 	if c.Limits.MemoryMB <= 0 {
 		return defaultMemoryLimit
--- a/internal/operations/platform/reload.go
+++ b/internal/operations/platform/reload.go
@@ -2,9 +2,10 @@
 
 import "reflect"
 
-// Reload reads the file again for a process that runs with the configuration old. NODE_DISCOVERY
-// does not override the file here, because the environment is from the start of the process.
-// unapplied names the fields that differ from old but take effect only at the next start.
+// Reload reads the configuration file again for a process that runs with the configuration old.
+// NODE_DISCOVERY does not override the file here: a process's environment does not change, and would
+// hide a new discovery address in the file. unapplied names the fields that differ from old but take
+// effect only at the next start.
 func Reload(env func(string) string, old *Config) (c *Config, unapplied []string, err error) {
 	c, err = Load(func(name string) string {
 		if name == "NODE_DISCOVERY" {
--- a/internal/operations/settings/fault.go
+++ b/internal/operations/settings/fault.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-const maxFaults = 100 // reported for one file
+const maxFaults = 100 // most faults that are reported for one file
 
 // Fault is one error in a file.
 type Fault struct {
 	File    string
 	Pos     Pos
-	Message string // what was found and what is expected
+	Message string // names what was found and what is expected
 }
 
 // Error returns the fault as FILE:LINE:COLUMN: MESSAGE.
@@ -24,10 +24,11 @@
 type Faults struct {
 	file    string
 	list    []Fault
-	omitted int // faults past maxFaults, which are only counted
+	omitted int // number of faults added after maxFaults
 }
 
-// Add adds a fault. Faults past maxFaults are only counted.
+// Add adds a fault at the position at, with a message made of format and args as by fmt.Sprintf. After
+// maxFaults faults, further ones are only counted.
 func (f *Faults) Add(at Pos, format string, args ...any) {
 	if len(f.list) == maxFaults {
 		f.omitted++
--- a/internal/operations/settings/fieldset.go
+++ b/internal/operations/settings/fieldset.go
@@ -8,9 +8,9 @@
 type FieldSet struct {
 	node        *Node // nil if the file does not have the section
 	faults      *Faults
-	dir         string // folder that relative paths start from
-	path        string // names from the section to this list, separated by blanks
-	fields      []*Field
+	dir         string             // folder of the file, from which relative paths start
+	path        string             // names of the lists from the section to this one, separated by blanks
+	fields      []*Field           // the fields declared so far
 	nodesByName map[string][]*Node // the file's nodes by field name
 }
 
@@ -18,10 +18,10 @@
 type Field struct {
 	Name     string
 	Doc      string
-	Expected string      // describes the valid values
-	Set      bool        // whether the file has the field
-	Nested   []*FieldSet // for a list of fields: one set per occurrence
-	value    func() string
+	Expected string        // describes the valid values
+	Set      bool          // whether the file has the field
+	Nested   []*FieldSet   // for a list of fields: one set per occurrence
+	value    func() string // returns the current value in the syntax of a settings file
 }
 
 // Value returns the field's value in the syntax of a settings file, or "" for a list of fields.
@@ -47,8 +47,8 @@
 	f.faults.Add(at, format, args...)
 }
 
-// newFieldSet returns a field set for node, which is nil if the file does not have the list. Items
-// of node that are not lists with a name are faults.
+// newFieldSet returns a field set for the list node, which is nil if the file does not have the list.
+// Items of node that are not lists with a name are faults. dir and path are as in FieldSet.
 func newFieldSet(node *Node, faults *Faults, dir, path string) *FieldSet {
 	f := &FieldSet{node: node, faults: faults, dir: dir, path: path, nodesByName: map[string][]*Node{}}
 	if node == nil {
@@ -65,7 +65,7 @@
 	return f
 }
 
-// reportUnknown adds a fault for each field that was not declared.
+// reportUnknown adds a fault for each field of the file that was not declared.
 func (f *FieldSet) reportUnknown() {
 	known := make([]string, 0, len(f.fields))
 	for _, d := range f.fields {
@@ -81,8 +81,9 @@
 	}
 }
 
-// declare declares a field that may occur once. It returns the field's node and values, or nil if
-// the file does not have the field.
+// declare declares a field that may occur once. It returns the field's node and its values, or nils if
+// the file does not have the field. doc, expected and value are those of Field. If the field occurs
+// again, that is a fault and the first occurrence counts.
 func (f *FieldSet) declare(name, doc, expected string, value func() string) (*Node, []*Node) {
 	d := &Field{Name: name, Doc: doc, Expected: expected, value: value}
 	f.fields = append(f.fields, d)
@@ -97,8 +98,8 @@
 	return nodes[0], nodes[0].Values()[1:]
 }
 
-// Group declares a list of fields that may occur once: (name (field value) ...). It calls bind even
-// if the file does not have the list.
+// Group declares a list of fields that may occur once: (name (field value) ...). It calls bind, which
+// declares the fields, even if the file does not have the list.
 func (f *FieldSet) Group(name, doc string, bind func(f *FieldSet)) {
 	n, _ := f.declare(name, doc, "a list of fields", func() string { return "" })
 	nested := f.bindNested(n, name, bind)
@@ -106,7 +107,8 @@
 }
 
 // Repeated declares a list of fields that may occur any number of times: (name label (field value)
-// ...). It calls bind for each occurrence. The label is an atom or a text.
+// ...). It calls bind, which declares the fields, for each occurrence. The label is an atom or a text;
+// a label that occurs twice is a fault, but bind is still called.
 func (f *FieldSet) Repeated(name, doc string, bind func(label string, f *FieldSet)) {
 	d := &Field{Name: name, Doc: doc, Expected: "a label and fields, any number of times", value: func() string { return "" }}
 	f.fields = append(f.fields, d)
--- a/internal/operations/settings/node.go
+++ b/internal/operations/settings/node.go
@@ -5,10 +5,11 @@
 
 import "fmt"
 
-// Bounds of a file. Files written by hand are far below them; a larger file is reported as a fault.
+// Bounds of a file. Files written by hand are far below them. A file beyond a bound is reported as a
+// fault.
 const (
-	MaxBytes = 1 << 20
-	MaxDepth = 32 // of nested lists
+	MaxBytes = 1 << 20 // size of the file
+	MaxDepth = 32      // number of lists that are open at any position
 )
 
 // Pos is a position in a file. Lines and columns count from 1; columns count characters.
@@ -33,8 +34,8 @@
 	Text  string  // of an Atom, a Text (without quotes and escapes) or a Comment (with its semicolons)
 	Items []*Node // of a List, including comments
 
-	afterBlankLine bool // a blank line precedes the node
-	sameLine       bool // of a Comment: it follows a node or an opening bracket on its line
+	afterBlankLine bool // whether a blank line precedes the node
+	sameLine       bool // of a Comment: whether a node or an opening bracket precedes it on its line
 }
 
 // Values returns the items of a list without its comments.
@@ -81,7 +82,7 @@
 	return "a comment"
 }
 
-const maxQuotedRunes = 40 // quoted from the file in a fault
+const maxQuotedRunes = 40 // most characters of one node that a fault quotes
 
 // truncate shortens s to maxQuotedRunes characters followed by "..." if it is longer.
 func truncate(s string) string {
--- a/internal/operations/settings/pairs.go
+++ b/internal/operations/settings/pairs.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// Pairs declares a map: (name (key value) ...). check reports whether a pair is valid; a nil check
-// accepts every pair.
+// Pairs declares a map: (name (key value) ...). If the file has the field, *target is replaced by a new
+// map of the valid pairs. expected describes a valid pair for faults. check reports whether a pair is
+// valid; a nil check accepts every pair.
 func (f *FieldSet) Pairs(name, doc, expected string, target *map[string]string, check func(key, value string) bool) {
 	n, values := f.declare(name, doc, expected, func() string {
 		var out []string
@@ -34,7 +35,7 @@
 	*target = out
 }
 
-// pair returns the key and value of a list (key value). ok reports whether the node is such a list.
+// pair returns the key and value of a list (key value). ok reports whether n is such a list.
 func (n *Node) pair() (key, value string, ok bool) {
 	items := n.Values()
 	if n.Kind != List || len(items) != 2 || items[0].Kind == List || items[1].Kind == List {
--- a/internal/operations/settings/parse.go
+++ b/internal/operations/settings/parse.go
@@ -7,9 +7,9 @@
 	"unicode/utf8"
 )
 
-// Parse parses the syntax of a file. It reports all faults, with name as the file's name. With
-// faults it returns the tree as far as it could be read, so that the contents can be checked in the
-// same pass.
+// Parse parses the syntax of a file. It returns a list whose items are the nodes at the top level, and
+// all faults, with name as the file's name. If there are faults, the list contains what could be read,
+// so that Schema.Read can check the contents in the same pass. The *Faults is never nil.
 func Parse(name string, data []byte) (*Node, *Faults) {
 	faults := &Faults{file: name}
 	root := &Node{Kind: List, Pos: Pos{1, 1}}
@@ -48,7 +48,7 @@
 // parser parses the nodes of a file one by one.
 type parser struct {
 	rest   string // the input that is still to be parsed
-	pos    Pos    // of rest
+	pos    Pos    // position at which rest starts
 	faults *Faults
 }
 
@@ -84,7 +84,7 @@
 // parseItems parses the items of list up to its closing bracket, or up to the end of the file if
 // list is the root. depth is the number of open lists.
 func (p *parser) parseItems(list *Node, depth int) {
-	lastLine := 0 // line on which the previous node ended
+	lastLine := 0 // line on which the previous node ended or the list opened; 0 at the start of the file
 	if depth > 0 {
 		lastLine = list.Pos.Line
 	}
@@ -116,7 +116,9 @@
 	}
 }
 
-// parseNode parses one node. It returns false if the input after the node can't be parsed.
+// parseNode parses one node into n, whose position is set. depth is the number of open lists, and
+// lastLine the line on which the previous node ended. parseNode returns false if lists are nested too
+// deep; the rest of the input is then discarded.
 func (p *parser) parseNode(n *Node, depth, lastLine int) bool {
 	switch p.peek() {
 	case '(':
@@ -167,7 +169,8 @@
 // endsAtom reports whether c is not part of an atom.
 func endsAtom(c rune) bool { return unicode.IsSpace(c) || strings.ContainsRune(`();"`, c) }
 
-// parseText parses a quoted text.
+// parseText parses a quoted text. A text that is not closed on its line is a fault, and n.Text stays
+// empty.
 func (p *parser) parseText(n *Node) {
 	n.Kind = Text
 	p.next()
@@ -193,7 +196,8 @@
 	}
 }
 
-// parseEscape parses the character after a backslash, which is at the position at.
+// parseEscape parses the character after a backslash and writes the character that it stands for to b.
+// at is the position of the backslash. parseEscape does nothing at the end of the input.
 func (p *parser) parseEscape(b *strings.Builder, at Pos) {
 	if p.rest == "" {
 		return
--- a/internal/operations/settings/paths.go
+++ b/internal/operations/settings/paths.go
@@ -4,7 +4,8 @@
 	"path/filepath"
 )
 
-// Path declares the path of a file. A relative path starts from the folder of the settings file.
+// Path declares the path of a file, which must not be empty. A relative path starts from the folder of
+// the settings file; *target receives the joined path.
 func (f *FieldSet) Path(name, doc string, target *string) {
 	f.declareSingle(name, doc, "a path", func() string { return Quote(*target) }, func(s string) bool {
 		*target = f.resolve(s)
--- a/internal/operations/settings/print.go
+++ b/internal/operations/settings/print.go
@@ -2,7 +2,8 @@
 
 import "strings"
 
-// maxLineBytes is the length, with the indentation, up to which a list is printed on one line.
+// maxLineBytes is the length in bytes, including the indentation, up to which a list is printed on one
+// line.
 const maxLineBytes = 100
 
 // Print returns a file in its canonical format: each list that fits is on one line, each level is
@@ -14,8 +15,8 @@
 	return []byte(b.String())
 }
 
-// printItems writes each item on a separate line, and a comment that followed an item on its line
-// after that item.
+// printItems writes each item on a separate line, indented by indent blanks. A comment that followed an
+// item on the item's line is written after that item. One blank line is kept where the file had any.
 func printItems(b *strings.Builder, items []*Node, indent int) {
 	for i, n := range items {
 		if n.Kind == Comment && n.sameLine && i > 0 {
@@ -33,8 +34,8 @@
 	}
 }
 
-// printNode writes a node that starts at the given indentation, on several lines if it is a list
-// that does not fit on one line or contains a comment.
+// printNode writes a node, which starts after indent blanks. A list that does not fit on one line or
+// contains a comment is written on several lines.
 func printNode(b *strings.Builder, n *Node, indent int) {
 	if flat, ok := flatten(n); ok && (n.Kind != List || indent+len(flat) <= maxLineBytes) {
 		b.WriteString(flat)
@@ -47,9 +48,9 @@
 	b.WriteString(strings.Repeat(" ", indent) + ")")
 }
 
-// printHead writes the items that stay on the first line of a list, and returns their number: up to
-// two atoms, and a comment next to them, since a closing bracket can't follow a comment on its
-// line.
+// printHead writes the items that stay on the first line of a list, and returns their number. These are
+// up to two atoms, and a comment next to them. What follows that comment, even the closing bracket,
+// needs another line, because it would be part of the comment otherwise.
 func printHead(b *strings.Builder, items []*Node) (head int) {
 	for head < len(items) && head < 2 && items[head].Kind == Atom {
 		if head > 0 {
--- a/internal/operations/settings/schema.go
+++ b/internal/operations/settings/schema.go
@@ -12,7 +12,7 @@
 // Section describes a section of the settings file, which one package declares.
 type Section struct {
 	Name string
-	Doc  string
+	Doc  string // describes the section to operators, in one line
 	// Bind declares the section's fields on f and returns the value that receives them. If the file
 	// does not have the section, f has no nodes and the value keeps its defaults.
 	Bind func(f *FieldSet) any
@@ -23,17 +23,18 @@
 
 // File is a settings file that was read.
 type File struct {
-	Path      string
-	Root      *Node
-	values    map[string]any
-	fieldSets map[string]*FieldSet
+	Path      string               // "" if no file was named
+	Root      *Node                // a list of the nodes at the top level
+	values    map[string]any       // by section name, as Bind returned them
+	fieldSets map[string]*FieldSet // by section name
 }
 
-// Value returns the value that the section's Bind returned, or nil for an unknown section.
+// Value returns the value that Section.Bind returned for the section with that name, or nil if the
+// schema has no such section.
 func (f *File) Value(section string) any { return f.values[section] }
 
-// Load reads the file at path. An empty path means an empty file, in which every field has its
-// default. The error is a *Faults unless the file could not be read.
+// Load reads the file at path. An empty path means an empty file, so that every field has its default.
+// The error is a *Faults unless the file could not be read; in that case the *File is nil.
 func (s Schema) Load(path string) (*File, error) {
 	if path == "" {
 		f, _ := s.Read("", nil)
@@ -120,7 +121,7 @@
 	}
 }
 
-// describe returns the field as Show prints it.
+// describe returns the field as Show prints it, which is as a comment if the field has no value.
 func (f *Field) describe() string {
 	value := f.Value()
 	if value == "" || value == `""` {
--- a/internal/operations/settings/settings_test.go
+++ b/internal/operations/settings/settings_test.go
@@ -22,7 +22,7 @@
 	teams []string
 }
 
-// schema has one section with a field of almost every type.
+// schema has one section, sample, with a field of almost every type. Its value is a *sample.
 var schema = Schema{{Name: "sample", Doc: "a sample", Bind: func(f *FieldSet) any {
 	s := &sample{n: 7, d: time.Second, kind: "red"}
 	f.Bool("servers", "whether", &s.on)
@@ -117,7 +117,7 @@
 	}
 }
 
-// commented is a settings file with comments, in the format of Print.
+// commented is a settings file with comments, exactly as Print formats it.
 const commented = `; head
 
 (tls  ; why
--- a/internal/operations/settings/units.go
+++ b/internal/operations/settings/units.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// unit is a unit of time in nanoseconds or of size in bytes.
+// unit is a unit of time or of size. size is its length in nanoseconds or its number of bytes.
 type unit[T int64 | time.Duration] struct {
 	name string
 	size T
@@ -20,20 +20,21 @@
 	sizeUnits = []unit[int64]{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 )
 
-// ParseDuration parses a time with one unit: d, h, m, s, ms, us or ns. It reports whether s is
-// valid.
+// ParseDuration parses a decimal number with one unit of time: d, h, m, s, ms, us or ns. The bool
+// reports whether s is valid.
 func ParseDuration(s string) (time.Duration, bool) { return parseUnit(s, timeUnits) }
 
 // FormatDuration returns a time in the format of ParseDuration.
 func FormatDuration(d time.Duration) string { return formatUnit(d, timeUnits) }
 
-// ParseSize parses a number of bytes with one unit: B, KiB, MiB or GiB. It reports whether s is
-// valid.
+// ParseSize parses a decimal number with one unit of size: B, KiB, MiB or GiB. It returns the number of
+// bytes and reports whether s is valid.
 func ParseSize(s string) (int64, bool) { return parseUnit(s, sizeUnits) }
 
 // FormatSize returns a number of bytes in the format of ParseSize.
 func FormatSize(n int64) string { return formatUnit(n, sizeUnits) }
 
+// letters are the characters that names of units consist of.
 const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 
 // parseUnit parses a decimal number that is followed by the name of one of units, and rounds it to
@@ -56,7 +57,7 @@
 	return 0, false
 }
 
-// formatUnit returns x in the largest unit of which it is a multiple. Zero has the smallest unit.
+// formatUnit returns x in the largest unit of which x is a multiple. Zero is in the smallest unit.
 func formatUnit[T int64 | time.Duration](x T, units []unit[T]) string {
 	for _, u := range units {
 		if x != 0 && x%u.size == 0 {
@@ -66,8 +67,8 @@
 	return "0" + units[len(units)-1].name
 }
 
-// parseDecimal parses digits with at most one point. ParseFloat alone also accepts names, exponents
-// and signs.
+// parseDecimal parses digits with at most one point, and reports whether s is valid. ParseFloat alone
+// would also accept names such as Inf, exponents and signs.
 func parseDecimal(s string) (float64, bool) {
 	if s == "" || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
--- a/internal/operations/settings/values.go
+++ b/internal/operations/settings/values.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// declareSingle declares a field of one value. read stores the value and reports whether it is
-// valid.
+// declareSingle declares a field of one value. read parses and stores the value s of the file, and
+// reports whether it is valid. doc, expected and value are those of Field.
 func (f *FieldSet) declareSingle(name, doc, expected string, value func() string, read func(s string) bool) {
 	n, values := f.declare(name, doc, expected, value)
 	if n == nil {
@@ -25,8 +25,8 @@
 	}
 }
 
-// declareList declares a field of one or more values. read returns a value as it is stored, and
-// reports whether it is valid.
+// declareList declares a field of one or more different values. read returns the value s of the file as
+// it is stored in *target, and reports whether it is valid.
 func (f *FieldSet) declareList(name, doc, expected string, target *[]string, read func(s string) (string, bool)) {
 	n, values := f.declare(name, doc, expected, func() string {
 		var out []string
@@ -108,7 +108,8 @@
 		})
 }
 
-// Percent declares a percentage from least to most, as a fraction: 30% is stored as 0.3.
+// Percent declares a percentage that is stored as a fraction: 30% as 0.3. least and most are fractions
+// too.
 func (f *FieldSet) Percent(name, doc string, target *float64, least, most float64) {
 	f.declareSingle(name, doc, fmt.Sprintf("a share from %s to %s", formatPercent(least), formatPercent(most)),
 		func() string { return formatPercent(*target) }, func(s string) bool {
