--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -15,12 +15,10 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// rigSlots limits to two how many rigs run at a time: more would starve one another on two slow cores.
-// A rig is a set of proxy processes with hosts, started for one test.
+// rigSlots limits the rigs (sets of proxy processes) that run at a time: more starve on two slow cores.
 var rigSlots = make(chan struct{}, 2)
 
-// startOwnersRig starts a rig of five processes that divide ownersRigJobs jobs among themselves. Three
-// vote on the owners, and store their votes on disk if disks is true.
+// startOwnersRig starts five processes that own jobs. Three vote, on disk if disks is true.
 func startOwnersRig(t *testing.T, disks bool) *experiment.Rig {
 	t.Helper()
 	rigSlots <- struct{}{}
@@ -41,13 +39,11 @@
 // recoveryTimeout is the time that a fleet may take to recover from a fault.
 const recoveryTimeout = 40 * time.Second
 
-// ownersRigJobs is the number of jobs of startOwnersRig: three drills, which are jobs that
-// exist only to test ownership, and the list of suspended hosts.
+// ownersRigJobs is the number of jobs of startOwnersRig: three drills (for tests) and the suspensions.
 const ownersRigJobs = 4
 
 // waitOwners waits until every job has one owner, and returns the index of the owner's process by
-// job. It does not ask the processes except. It fails the test after recoveryTimeout. after
-// describes what happened before, for the failure message.
+// job, without asking the processes except. after describes the fault before, for the failure.
 func waitOwners(t *testing.T, rig *experiment.Rig, after string, except ...int) map[string]int {
 	t.Helper()
 	var owners map[string]int
@@ -112,8 +108,7 @@
 	}
 }
 
-// ownersCommand sends an operator's command with its argument to process i and returns the reply's
-// answer or error.
+// ownersCommand sends an operator's command to process i and returns the reply's answer or error.
 func ownersCommand(t *testing.T, rig *experiment.Rig, i int, name, argument string) string {
 	t.Helper()
 	reply, err := rig.SendOwnerRequest(i, owneragent.Request{Command: name, Argument: argument})
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -1,17 +1,14 @@
 // Package node assembles the parts of one proxy process. It makes no decisions on requests.
 //
 // A process has one event loop and one proxy core (package proxy), which relays the connections of
-// clients to upstream hosts. process.start creates the core, obtains the state of the process that
-// served before this one, starts the core with an endpoint list, opens the sockets for other
-// proxies, clients and operators, and serves. It then logs event=ready. In a hot restart, in which a
-// new process replaces an old one, the new one accepts clients, and is ready according to
-// /v1/readyz, only after it has taken over (beginTakeover).
+// clients to upstream hosts. In a hot restart a new process replaces an old one: it logs event=ready
+// when its sockets are open, but accepts clients, and is ready according to /v1/readyz, only after it
+// has taken over.
 //
 // signals.go handles SIGHUP and SIGTERM. fleet.go starts membership and the jobs that the proxies
-// divide among themselves. Four files implement a hot restart: restart.go defines the phases of the
-// old and the new process, predecessor.go contains what a new process requests of the old one,
-// partner.go handles messages from the other process, and successor.go implements the methods that
-// the core calls.
+// divide among themselves. Four files implement a hot restart: restart.go defines the phases of both
+// processes, predecessor.go contains what a new process requests of the old one, partner.go handles
+// messages from the other process, and successor.go implements the methods that the core calls.
 package node
 
 import (
@@ -76,8 +73,7 @@
 }
 
 // start makes the process ready. Without an old process, start accepts clients as its last step,
-// because a client's request, or a PING line on its connection, must find the proxy ready.
-// Otherwise the process accepts clients only after it has taken over (beginTakeover).
+// because a request or a PING line must find the proxy ready; otherwise see beginTakeover.
 func (p *process) start(file *settings.File) error {
 	maxDownstreams, err := p.makeCore(tlsOptions(file))
 	if err != nil {
@@ -106,7 +102,7 @@
 	if old != nil {
 		p.beginTakeover(old)
 	} else if err := p.serve(); err != nil {
-		return fmt.Errorf("listen: %v", err)
+		return fmt.Errorf("listen: accepting clients at %s: %v", p.cfg.Listen, err)
 	}
 	slog.Info("ready", "name", p.cfg.Name, "listen", p.front.Addr(), "hosts", len(list.Hosts), "rev", list.Version, "max_downstreams", maxDownstreams)
 	return nil
@@ -140,15 +136,13 @@
 	return options.MaxDownstreams, nil
 }
 
-// findPredecessor requests a handover from the process that serves. If none hands over, it reads
-// the state that an earlier process stored. findPredecessor restores that state's suspensions of
-// hosts by operators in the core. If hot restarts are possible, it also creates the store for this
-// process's own state. old is nil if no process hands over; handoff, which holds the state and the
-// sockets handed over, is not nil if err is nil.
+// findPredecessor requests a handover from the process that serves. If none hands over, it reads the
+// state that an earlier process stored. It restores the operators' suspensions of hosts in the core,
+// and creates the store of this process's state if hot restarts are possible. old is nil if no
+// process hands over; handoff, the state and sockets handed over, is not nil if err is nil.
 func (p *process) findPredecessor() (old *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
-	// TMPDIR is the private directory that the processes of this proxy share; an empty one disables
-	// hot restarts. Without an admin interface the platform cannot ask whether a new process is
-	// ready, and never replaces a process.
+	// TMPDIR is the private directory of this proxy's processes; none means no hot restarts. Without
+	// an admin interface the platform cannot ask whether a process is ready, and replaces none.
 	if p.cfg.Admin != "" {
 		p.restart.dir = os.Getenv("TMPDIR")
 	}
@@ -166,9 +160,8 @@
 	return old, handoff, nil
 }
 
-// runCore creates the discovery client and starts the core with it, with a balancer as decision
-// module, and with the newest known endpoint list. It returns that list. It then restores the
-// balancer's state from handoff.
+// runCore creates the discovery client and starts the core with it, a balancer as decision module,
+// and the newest known endpoint list, which it returns. It restores the balancer's state in handoff.
 func (p *process) runCore(handoff *hotrestart.Handoff) (list proxy.WatchEvent, err error) {
 	cfg := p.cfg
 	list = knownList(cfg, handoff.Snapshot)
@@ -204,9 +197,8 @@
 	p.peers = link
 }
 
-// peerMessageReceived passes a datagram of the proxy with number from to membership, or to the
-// decision module if the datagram is not one of membership's. Both use the same socket. A nil
-// members agent accepts no datagram.
+// peerMessageReceived passes a datagram of the proxy with number from to membership, which may be
+// nil, or to the decision module if the datagram is not one of membership's.
 func (p *process) peerMessageReceived(from int, data []byte) {
 	if !p.fleet.members.ReceiveShared(from, data) {
 		p.core.PeerMessageReceived(from, data)
