--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -15,10 +15,10 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// rigSlots limits the rigs (sets of proxy processes) that run at a time: more starve on two slow cores.
+// rigSlots limits the rigs (sets of proxy processes): more than two starve one another on two slow cores.
 var rigSlots = make(chan struct{}, 2)
 
-// startOwnersRig starts five processes that own jobs. Three vote, on disk if disks is true.
+// startOwnersRig starts five processes. Three vote, and store their votes on disk if disks is true.
 func startOwnersRig(t *testing.T, disks bool) *experiment.Rig {
 	t.Helper()
 	rigSlots <- struct{}{}
@@ -43,7 +43,7 @@
 const ownersRigJobs = 4
 
 // waitOwners waits until every job has one owner, and returns the index of the owner's process by
-// job, without asking the processes except. after describes the fault before, for the failure.
+// job, without asking the processes except. after describes what happened before, for a failure.
 func waitOwners(t *testing.T, rig *experiment.Rig, after string, except ...int) map[string]int {
 	t.Helper()
 	var owners map[string]int
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -9,8 +9,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// maxQueuedMessages is the maximum number of messages that wait to be written to the other process. A
-// process that reads its messages has few waiting.
+// maxQueuedMessages is the maximum number of messages that wait to be written to the other process.
+// Messages are few and short, so that many wait only if that process does not read.
 const maxQueuedMessages = 256
 
 // Events handles what a Partner receives. All methods are called on the loop.
