--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -15,7 +15,7 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// rigSlots limits how many rigs run at a time: more than two starve one another on two slow cores.
+// rigSlots limits the rigs (sets of proxy processes): more than two starve one another on two slow cores.
 var rigSlots = make(chan struct{}, 2)
 
 // startOwnersRig starts five processes. Three vote, and store their votes on disk if disks is true.
@@ -39,11 +39,11 @@
 // recoveryTimeout is the time that a fleet may take to recover from a fault.
 const recoveryTimeout = 40 * time.Second
 
-// ownersRigJobs is the number of jobs of startOwnersRig: three drills and the suspended hosts.
+// ownersRigJobs is the number of jobs of startOwnersRig: three drills (for tests) and the suspensions.
 const ownersRigJobs = 4
 
-// waitOwners waits until every job has one owner, as reported by the owners other than except, and
-// returns the owners by job. after describes what happened before, for a failure message.
+// waitOwners waits until every job has one owner, and returns the index of the owner's process by
+// job, without asking the processes except. after describes what happened before, for a failure.
 func waitOwners(t *testing.T, rig *experiment.Rig, after string, except ...int) map[string]int {
 	t.Helper()
 	var owners map[string]int
