--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -29,7 +29,7 @@
 	Weight         float64
 	StartedAt      time.Time // latest start; zero if it was long ago or not logged
 	Attempts       int       // attempts started
-	WarmUpAttempts int       // attempts started within Count's warmUp after StartedAt
+	WarmUpAttempts int       // attempts started within Count's warmUp after a start of the host
 	WarmUpPeak     int       // most of WarmUpAttempts within any period of Count's peakWindow
 	Open           int       // established connections at the end of the log
 	MaxDelayMS     float64   // longest message delay reported, in milliseconds
@@ -38,10 +38,10 @@
 // Fleet holds the counts of all proxies over a log.
 type Fleet struct {
 	Start    time.Time // time of the first event
-	Windows  []*Window
-	Hosts    []*Host // sorted by name
-	Requests int
-	Attempts int
+	Windows  []*Window // consecutive, from Start
+	Hosts    []*Host   // sorted by name
+	Requests int       // sum over Windows
+	Attempts int       // sum over Windows
 }
 
 // placement is the host of an established connection and the group of its client.
@@ -180,6 +180,8 @@
 	}
 }
 
+// hostUpdated counts a change of a host in one proxy's list, and updates the host's attributes. It keeps
+// StartedAt if the event has no start time.
 func (c *counter) hostUpdated(e Event) {
 	c.window.HostUpdates++
 	h := c.host(e.Fields["host"])
--- a/internal/testbed/fleetlog/fieldnames.go
+++ b/internal/testbed/fleetlog/fieldnames.go
@@ -4,8 +4,8 @@
 // current ones. Some earlier names mean something else now, so names are mapped only in a line that has
 // the field marker, which only lines of the earlier version have.
 var earlierFields = map[string]struct {
-	marker string
-	names  map[string]string
+	marker string            // field that only lines of the earlier version have
+	names  map[string]string // current field name by earlier name
 }{
 	"counts": {"refused", map[string]string{
 		"connections": "downstreams",
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -67,17 +67,17 @@
 	w := f.Windows[0]
 	if w.Requests != 2 || w.Returned != 1 || w.Attempts != 4 || w.Established != 2 || w.Rejected != 3 || w.Failed["connect_failed"] != 2 ||
 		w.Open != 2 || w.Placements != 1 || w.ProcessStarts != 2 || w.HostUpdates != 2 {
-		t.Errorf("window of both proxies = %+v", w)
+		t.Errorf("window of both proxies = %+v, want 2 requests (1 returned), 4 attempts (2 connect_failed), 2 established, 3 rejected, 2 open, 1 placement, 2 process starts and 2 host updates", w)
 	}
 	if len(f.Hosts) != 2 {
 		t.Fatalf("%d hosts, want 2", len(f.Hosts))
 	}
 	if h := f.Hosts[1]; h.Name != "s1" || h.Zone != "zone a" || h.Attempts != 2 || h.WarmUpAttempts != 2 || h.WarmUpPeak != 2 || h.Open != 2 ||
 		h.MaxDelayMS != 250.5 || h.Weight != 1.5 {
-		t.Errorf("host s1 = %+v", h)
+		t.Errorf("host s1 = %+v, want zone a, weight 1.5, 2 attempts, all in the warm-up, a warm-up peak of 2, 2 open connections and a delay of 250.5 ms", h)
 	}
 	if h := f.Hosts[0]; h.WarmUpAttempts != 0 || h.Attempts != 2 {
-		t.Errorf("host s0 = %+v", h)
+		t.Errorf("host s0 = %+v, want 2 attempts, none in the warm-up", h)
 	}
 }
 
@@ -154,7 +154,7 @@
 	for _, c := range []struct {
 		what      string
 		got, want float64
-	}{{"waiting", got.Waiting, 4}, {"crowded", got.Overloaded, 4.5}, {"slow", got.Slow, 1.5}, {"broken", got.Broken, 2}, {"migrated", got.Migrated, 10}, {"rejected", got.Rejected, 10},
+	}{{"waiting", got.Waiting, 4}, {"overloaded", got.Overloaded, 4.5}, {"slow", got.Slow, 1.5}, {"broken", got.Broken, 2}, {"migrated", got.Migrated, 10}, {"rejected", got.Rejected, 10},
 		{"good", got.Good, 3*5.5 + 57.5}} {
 		if c.got < c.want-0.8 || c.got > c.want+0.8 {
 			t.Errorf("%s: %.2f s, want %.2f", c.what, c.got, c.want)
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Loss divides the time in which clients wanted to be connected, over all proxies, by what they got. All
-// times are in seconds.
+// Loss divides the time in which clients wanted to be connected, summed over all proxies, by the state
+// of their connection. All times are in seconds.
 type Loss struct {
 	Good float64 // connected to a host that was not slow
 	// Time connected to a slow host whose share of connections was above overloadShare (Overloaded), or not
@@ -45,7 +45,7 @@
 	// overloadShare is the share of connections, over the fleet's mean by weight, above which a slow host
 	// counts as overloaded.
 	overloadShare = 1.25
-	// sampleInterval is the time between samples, which each sample adds to a client's count.
+	// sampleInterval is the time between samples. Each sample adds it to the time of each client's state.
 	sampleInterval = 250 * time.Millisecond
 	// minSpreadConnections is the number of connections that a sample must exceed for its spread to be
 	// meaningful.
@@ -63,22 +63,22 @@
 	clientMigrated // connection was migrated; the client is expected to return
 )
 
-// client is the client of one request, in the state it has had since a given time.
+// client is the client of one request and its current state.
 type client struct {
 	state clientState
-	host  string // empty unless connected
-	since time.Time
+	host  string    // empty unless connected
+	since time.Time // time of the last change of state
 }
 
 // lossCounter samples the clients of all proxies.
 type lossCounter struct {
 	loss      *Loss
-	objective time.Duration // a host with reported message delays of this or longer is slow
-	clients   map[string]*client
-	hosts     map[string]*HostLoss
-	weights   map[string]float64
-	slowUntil map[string]time.Time
-	spreads   []float64
+	objective time.Duration        // a host with reported message delays of this or longer is slow
+	clients   map[string]*client   // by request
+	hosts     map[string]*HostLoss // by name
+	weights   map[string]float64   // usable weight by host
+	slowUntil map[string]time.Time // by host
+	spreads   []float64            // largest share of a host in each sample
 }
 
 // CountLoss samples the clients of a log at a fixed interval. A host is slow for delayReportLifetime after
@@ -149,7 +149,7 @@
 	return weight
 }
 
-// sample adds one sampleInterval to the count of each client, and records the hosts' shares. It drops
+// sample adds one sampleInterval to the time of each client's state, and records the hosts' shares. It drops
 // clients that have not been connected for longer than MaxDisconnected.
 func (c *lossCounter) sample(now time.Time) {
 	shares, connected := c.shares()
@@ -198,7 +198,7 @@
 	return shares, connected
 }
 
-// addSample adds one sampleInterval of a client to the count of its state.
+// addSample adds one sampleInterval to the time of a client's state.
 func (c *lossCounter) addSample(client *client, now time.Time, shares map[string]float64) {
 	seconds := sampleInterval.Seconds()
 	switch client.state {
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -88,11 +88,11 @@
 	return fmt.Sprintf("records=%d sha256=%s", d.records, hex.EncodeToString(d.hash.Sum(nil)))
 }
 
-// Samples collects the first few messages of each kind, byte for byte.
+// Samples collects the first few different messages of each kind, byte for byte.
 type Samples struct {
-	perKind int
-	kinds   map[string][]string
-	order   []string
+	perKind int                 // most messages of a kind
+	kinds   map[string][]string // messages in hexadecimal, by kind
+	order   []string            // kinds, in the order in which they were first added
 }
 
 // NewSamples returns Samples that keep up to perKind messages of each kind.
--- a/internal/testbed/simulator/adapter_test.go
+++ b/internal/testbed/simulator/adapter_test.go
@@ -19,16 +19,20 @@
 
 const membershipMsg = `{"event_type":"Membership","balancer":"B","form":"restored","gen":1,"sheet":0}`
 
+// inboundMsg returns the message of a request that arrives at balancer B.
 func inboundMsg(id string) string {
 	return `{"event_type":"Inbound","balancer":"B","request_id":"` + id + `","cls":"x","party":"t","remaining":900000000}`
 }
 
+// batchLine returns the line of a batch with the given messages.
 func batchLine(msgs ...string) []byte {
 	return []byte(`{"time":1000000000,"msgs":[` + strings.Join(msgs, ",") + `]}`)
 }
 
+// action is one action of a reply, by field name.
 type action map[string]any
 
+// actions parses the actions of a reply.
 func actions(t *testing.T, out []byte) []action {
 	t.Helper()
 	var r struct{ Outbox []action }
@@ -38,6 +42,7 @@
 	return r.Outbox
 }
 
+// actionsOfType returns the actions whose event_type is kind.
 func actionsOfType(actions []action, kind string) []action {
 	var found []action
 	for _, a := range actions {
@@ -138,6 +143,8 @@
 	}
 }
 
+// TestPanicIsReported guards against a crash of the process by the panic of one instance. The nil
+// balancer panics at its first event.
 func TestPanicIsReported(t *testing.T) {
 	a := NewAdapter(func(balancer.Config, int64, balancer.Effects) (*balancer.Balancer, error) { return nil, nil })
 	out, err := a.HandleBatch(batchLine(initMsg, directoryMsg, membershipMsg))
--- a/internal/testbed/simulator/decisions_test.go
+++ b/internal/testbed/simulator/decisions_test.go
@@ -32,16 +32,16 @@
 	rng            *rand.Rand
 	adapter        *Adapter
 	now            int64
-	events         int
+	events         int // number of events delivered
 	balancers      []string
 	config         map[string]json.RawMessage
 	hosts          []listedHost
 	listNumber     int
 	listVersion    int64
-	scheduled      []scheduledEvent
+	scheduled      []scheduledEvent // sorted by time, then order
 	scheduledCount int
 	requests       []*liveRequest
-	byID           map[string]*liveRequest
+	byID           map[string]*liveRequest // by balancer/request
 	nextID         int
 	hasGroups      bool
 	healthChecks   bool
@@ -50,8 +50,8 @@
 
 // scheduledEvent is an event that is delivered at a later time.
 type scheduledEvent struct {
-	at    int64
-	order int
+	at    int64 // nanoseconds
+	order int   // order among events of the same time
 	event map[string]any
 }
 
@@ -63,6 +63,7 @@
 	startedAt, timeout            int64
 }
 
+// newSequence returns the sequence of a seed, with its balancers started.
 func newSequence(seed int64) *sequence {
 	s := &sequence{seed: seed, rng: rand.New(rand.NewSource(seed)), adapter: NewAdapter(balancer.New), now: 100 * second,
 		config: map[string]json.RawMessage{}, byID: map[string]*liveRequest{}, digest: golden.NewDigest()}
@@ -132,10 +133,11 @@
 	panic(fmt.Sprintf("seed %d, event %d: ", s.seed, s.events) + fmt.Sprintf(format, args...))
 }
 
+// marshal returns v as JSON, and ends the sequence if v has no JSON form.
 func (s *sequence) marshal(v any) json.RawMessage {
 	data, err := json.Marshal(v)
 	if err != nil {
-		s.fail("%v", err)
+		s.fail("marshal %T: %v", v, err)
 	}
 	return data
 }
@@ -159,7 +161,7 @@
 	reply, err := s.adapter.HandleBatch(s.marshal(map[string]any{"time": s.now, "msgs": events}))
 	s.events += len(events)
 	if err != nil {
-		s.fail("%v", err)
+		s.fail("HandleBatch(%v): %v", events, err)
 	}
 	s.digest.Add("%d %s", s.now, reply)
 	s.applyReply(reply)
--- a/internal/testbed/simulator/decode.go
+++ b/internal/testbed/simulator/decode.go
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// decodeList decodes a change of the endpoint list. It resolves the list's number.
+// decodeList decodes a change of the endpoint list, and resolves the list's number to the stored hosts.
+// A failed list has no hosts.
 func (a *Adapter) decodeList(m *message) (event, error) {
 	change, ok := listChanges[m.Change]
 	if !ok {
--- a/internal/testbed/simulator/instance.go
+++ b/internal/testbed/simulator/instance.go
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// parseSeed parses a signed or unsigned 64-bit integer. An empty string is 0.
+// parseSeed parses a signed or unsigned 64-bit integer. A value above the range of int64 wraps around to
+// a negative one. An empty string is 0.
 func parseSeed(s string) (int64, error) {
 	if s == "" {
 		return 0, nil
--- a/internal/testbed/simulator/instances_test.go
+++ b/internal/testbed/simulator/instances_test.go
@@ -81,7 +81,7 @@
 	snapshot := s.adapter.instances[name].balancer.Snapshot(true)
 	stored, err := json.Marshal(snapshot)
 	if err != nil {
-		s.fail("%v", err)
+		s.fail("marshal the snapshot of %s: %v", name, err)
 	}
 	s.digest.Add("%s", stored)
 	var open []*liveRequest
--- a/internal/testbed/simulator/replies_test.go
+++ b/internal/testbed/simulator/replies_test.go
@@ -21,7 +21,7 @@
 		Outbox []replyAction `json:"outbox"`
 	}
 	if err := json.Unmarshal(reply, &r); err != nil {
-		s.fail("%v", err)
+		s.fail("reply is not valid JSON: %v: %s", err, reply)
 	}
 	for _, a := range r.Outbox {
 		s.applyAction(a)
--- a/internal/testbed/simulator/reply.go
+++ b/internal/testbed/simulator/reply.go
@@ -36,12 +36,14 @@
 	return w.text("balancer", w.balancer)
 }
 
+// key begins a field of the current action. The caller adds its value.
 func (w *reply) key(name string) {
 	w.buf = append(w.buf, ',', '"')
 	w.buf = append(w.buf, name...)
 	w.buf = append(w.buf, '"', ':')
 }
 
+// text adds a string field to the current action.
 func (w *reply) text(name, value string) *reply {
 	w.key(name)
 	quoted, _ := json.Marshal(value) // a string always marshals
@@ -49,16 +51,19 @@
 	return w
 }
 
+// number adds an integer field to the current action.
 func (w *reply) number(name string, value int64) *reply {
 	w.key(name)
 	w.buf = strconv.AppendInt(w.buf, value, 10)
 	return w
 }
 
+// flag adds a bool field to the current action.
 func (w *reply) flag(name string, value bool) *reply {
 	w.key(name)
 	w.buf = strconv.AppendBool(w.buf, value)
 	return w
 }
 
+// end ends the current action.
 func (w *reply) end() { w.buf = append(w.buf, '}') }
--- a/internal/testbed/simulator/requests_test.go
+++ b/internal/testbed/simulator/requests_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 )
 
+// randomBalancer returns the name of a random balancer.
 func (s *sequence) randomBalancer() string { return s.balancers[s.rng.Intn(len(s.balancers))] }
 
 // newRequest adds a request and returns it with the fields that the events of an arriving request and
@@ -31,6 +32,7 @@
 	return r, e
 }
 
+// arriveRequest delivers a new request to a balancer. The bits are those of message.Flags.
 func (s *sequence) arriveRequest(name string, bits int) {
 	_, e := s.newRequest("Inbound", name, bits)
 	s.deliver(e)
