--- a/internal/testbed/simulator/message.go
+++ b/internal/testbed/simulator/message.go
@@ -44,37 +44,37 @@
 	Balancer   string          `json:"balancer"`
 	RequestID  string          `json:"request_id"`
 	Host       string          `json:"server"`
-	Attempt    int             `json:"seq_no"`
-	Status     string          `json:"ending"`
-	Elapsed    int64           `json:"elapsed"`
-	Closed     bool            `json:"no_more"`
-	Load       []float64       `json:"gauge"`
-	Hint       float64         `json:"hint"`
-	Key        string          `json:"item"`
-	Tenant     json.RawMessage `json:"party"`
-	Group      string          `json:"channel"`
-	Class      *string         `json:"cls"`
-	Flags      int             `json:"bits"`
-	Remaining  *int64          `json:"remaining"`
+	Attempt    int             `json:"seq_no"`    // number of the attempt of its request, from 0
+	Status     string          `json:"ending"`    // a key of attemptStatuses
+	Elapsed    int64           `json:"elapsed"`   // since the attempt began, in nanoseconds
+	Closed     bool            `json:"no_more"`   // the request has its final answer
+	Load       []float64       `json:"gauge"`     // load report; see balancer.AttemptResult
+	Hint       float64         `json:"hint"`      // expected load, as balancer.Request.ExpectedLoad; used only with flagHint
+	Key        string          `json:"item"`      // idempotency key
+	Tenant     json.RawMessage `json:"party"`     // name of the tenant; a value that is not a string means none
+	Group      string          `json:"channel"`   // name of a group; see balancer.Request
+	Class      *string         `json:"cls"`       // name of the class
+	Flags      int             `json:"bits"`      // flagHint and the other flags
+	Remaining  *int64          `json:"remaining"` // time until the client stops waiting, in nanoseconds
 	Token      *string         `json:"ref"`
-	Value      float64         `json:"level"`
-	Kind       int             `json:"sort"`
+	Value      float64         `json:"level"` // observed value, in the unit of Kind
+	Kind       int             `json:"sort"`  // a balancer.Observation
 	Seed       json.Number     `json:"salt"`
 	Config     json.RawMessage `json:"config"`
-	ListNumber *int            `json:"sheet"`
+	ListNumber *int            `json:"sheet"` // number of an endpoint list
 	Hosts      []listedHost    `json:"elements"`
-	Change     string          `json:"form"`
-	Version    int64           `json:"gen"` // version of the list; unused, but must be an integer
-	Peer       int             `json:"origin_peer"`
-	Contents   string          `json:"contents"` // base64
+	Change     string          `json:"form"`        // a key of listChanges
+	Version    int64           `json:"gen"`         // version of the list; unused, but must be an integer
+	Peer       int             `json:"origin_peer"` // number of the balancer that sent the message
+	Contents   string          `json:"contents"`    // base64
 }
 
 // listedHost is a host of an endpoint list.
 type listedHost struct {
-	State     string  `json:"stage_state"`
+	State     string  `json:"stage_state"` // a key of hostStates
 	Zone      string  `json:"region_part"`
-	Weight    float64 `json:"capacity_hint"`
-	StartedAt int64   `json:"since"`
+	Weight    float64 `json:"capacity_hint"` // capacity relative to other hosts; 0 means 1
+	StartedAt int64   `json:"since"`         // latest start, in nanoseconds; 0 if it was long ago
 	ID        string  `json:"server"`
 	Kind      string  `json:"type"`
 	Cell      int     `json:"stripe"`
