--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -60,7 +60,7 @@
 	clientConnected
 	clientBroken   // connection was reset
 	clientRejected // request was rejected; the client may retry
-	clientMigrated // connection was migrated; the client is expected to return
+	clientMigrated // connection ended with a status other than ok and reset; the client is expected to return
 )
 
 // client is the client of one request and its current state.
--- a/internal/testbed/simulator/replies_test.go
+++ b/internal/testbed/simulator/replies_test.go
@@ -33,7 +33,7 @@
 	request := s.byID[a.Balancer+"/"+a.Request]
 	switch a.Type {
 	case "Bug":
-		s.fail("the decision module panicked")
+		s.fail("the decision module of balancer %s panicked", a.Balancer)
 	case "Dispatch":
 		if request == nil || request.inFlight || request.closed {
 			s.fail("attempt started for request %s, which is unknown, closed or has an attempt in flight", a.Request)
