--- a/internal/balancer/ledgersync_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -58,7 +58,8 @@
 
 // TestLedgerThroughFaults checks that no request waits longer than three reply timeouts, whatever
 // happens to ledger servers and messages, and that the first ledger server counts nearly all
-// connections again 15.5 s after the fault.
+// connections again 15.5 s after the fault. If a fault restarts ledger servers (soon), they count most
+// connections after 2.5 s, since all balancers report theirs to a restarted server within syncSpread.
 func TestLedgerThroughFaults(t *testing.T) {
 	for _, c := range ledgerFaults {
 		net := newPeerNetwork(t, 40, 20, true)
--- a/internal/balancer/loadestimate/host_test.go
+++ b/internal/balancer/loadestimate/host_test.go
@@ -29,7 +29,8 @@
 
 // TestFrozenReportsFade repeats the same report, as if reports were frozen while traffic doubles.
 // The repeated report counts as one ageing sample: the estimate approaches the default load of 0.9
-// without a step, and load that is added in the meantime counts.
+// without a step, and load that is added in the meantime counts. In the balancer, the default is the
+// mean reported load of the hosts.
 func TestFrozenReportsFade(t *testing.T) {
 	var h Host
 	h.Report(sec, 0.3, 1)
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -101,7 +101,8 @@
 }
 
 // TestConnectionsMigrateFromFullHost checks that a host that reports three times its capacity gets no
-// more requests, and that connections migrate off it while other hosts have spare capacity.
+// more requests, and that connections migrate off it while other hosts have spare capacity. A host
+// that has become slow still answers health checks, so its load reports show that it is full.
 func TestConnectionsMigrateFromFullHost(t *testing.T) {
 	f := startReporting(t, settings(), fleet(5)...)
 	f.reportLoads(func(int) float64 { return 0.4 })
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -13,7 +13,8 @@
 // duration, multiplied by these factors, estimates how long other set-ups take.
 const (
 	// completionFactor multiplies the duration of a set-up that has just succeeded. The product is
-	// the expected duration of a set-up that starts now.
+	// the expected duration of a set-up that starts now, as an upper estimate: it is assumed to
+	// take at most half as long again.
 	completionFactor = 1.5
 	// timeoutSampleFactor multiplies the duration of a set-up that timed out, since the set-up would
 	// have taken longer. Without samples of timed-out set-ups, the timeouts of attempts would never
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -123,7 +123,8 @@
 		}
 		attempts := replay(balancers, rng, arrivals, false, "s03")
 		total += len(attempts)
-		// The host's budget is 2.1 connections in 2 s at the end of the 10 s. Chance may bring more.
+		// The host's budget is 2.1 connections in 2 s at the end of the 10 s. Chance may bring
+		// more, but not a wave.
 		if n := maxInWindow(attempts, 2*sec); n > 6 {
 			t.Errorf("seed %d: %d connections within 2 s at a warming host, want at most 6", seed, n)
 		}
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -16,8 +16,8 @@
 	hostsPath = "/discovery/hosts"
 	// minWatchTimeout and maxWatchTimeout bound how long discovery may hold a call of the watch. Between
 	// these bounds the time is watchTimeoutPerProxy for each proxy that uses discovery, so that up to 80
-	// proxies together make at most four calls a second. The shorter the time, the sooner a watch whose
-	// connection has died is noticed and repeated.
+	// proxies together make at most four calls a second and discovery can answer them. The shorter the
+	// time, the sooner a watch whose connection has died is noticed and repeated.
 	minWatchTimeout      = 4 * time.Second
 	maxWatchTimeout      = 20 * time.Second
 	watchTimeoutPerProxy = 250 * time.Millisecond
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -157,7 +157,7 @@
 }
 
 // The more proxies use a discovery, the longer their watches wait, so that up to 80 proxies together make at
-// most four calls a second.
+// most four calls a second and discovery can answer them.
 func TestWatchesWaitLongerInALargerFleet(t *testing.T) {
 	for _, c := range []struct {
 		proxies int
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -55,7 +55,8 @@
 // of input at which reading pauses. It must be called on the loop.
 func (d *Dialer) Dial(addr string, timeout time.Duration, limit int, h Handler, done func(*Conn, *Error)) *Dial {
 	q := &Dial{dialer: d, addr: addr, limit: limit, deadline: d.loop.Now() + int64(timeout), handler: h, done: done}
-	// The timer also ends a dial that is still queued at its deadline.
+	// The timer keeps the deadline by the loop's clock, in addition to netpoll's own timeout. It also
+	// ends a dial that is still queued at its deadline.
 	q.expiry = d.loop.After(timeout, func() {
 		q.finish(nil, &Error{Stage: Connecting, Cause: TimedOut})
 	})
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -53,7 +53,8 @@
 }
 
 // TestRequestCountsOnceAgainstQuota checks that a request is placed once its account has quota,
-// counts once while it is open, and releases its quota at its end.
+// counts once while it is open, and releases its quota at its end. Whichever way a request ends,
+// removeIfDone releases the quota; here the host's connection ends.
 func TestRequestCountsOnceAgainstQuota(t *testing.T) {
 	w, quota := newQuotaHarness(t)
 	w.open("r")
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -135,8 +135,8 @@
 	c.shuttingDown, c.migrations.unpaced = true, true
 	schedule := newShutdownSchedule(c.longestDeadline(), c.handover.handedOver)
 	s := &shutdown{core: c, schedule: schedule, startedAt: c.loop.Now(), done: done}
-	// answerBy and exitBy have timers of their own, because the interval between steps is too
-	// coarse for them.
+	// answerBy and exitBy have timers of their own, accurate to the millisecond unless the loop is
+	// busy, because the interval between steps is too coarse for them.
 	c.loop.After(time.Duration(schedule.answerBy), s.answerAll)
 	c.loop.After(time.Duration(schedule.exitBy), s.end)
 	s.step()
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -18,7 +18,7 @@
 
 // coordinator is the role of the process that leads the group of voters: it grants leases and assigns
 // jobs. An epoch is the period for which it leads, with a number above those of earlier coordinators.
-// What it learned in one epoch is dropped at the start of the next.
+// It never leads in two epochs at a time. What it learned in one is dropped at the start of the next.
 type coordinator struct {
 	*environment
 	unheardBy map[string]int // number of members that do not hear a member and have not left, by that member's name
