--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -87,7 +87,7 @@
 			f.run(50 * ms)
 		}
 		if f.now-before > cfg.PollInterval*3/4 {
-			t.Fatalf("no poll of discovery for %d ms after a failure, expected one within %d ms",
+			t.Fatalf("no poll of the discovery service for %d ms after a failure, expected one within %d ms",
 				(f.now-before)/ms, cfg.PollInterval*3/4/ms)
 		}
 		f.b.ListReceived(f.now, ListFailed, nil)
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// checkPollsAfterFailures makes discovery fail the given number of times, and advances the clock by
-// wait after each failure. It checks that the balancer polls discovery again at most within after
-// each failure.
+// checkPollsAfterFailures makes the discovery service fail the given number of times, and advances
+// the clock by wait after each failure. It checks that the balancer polls the discovery service
+// again at most within after each failure.
 func checkPollsAfterFailures(t *testing.T, cfg Config, failures int, within, wait Time) {
 	t.Helper()
 	f := start(t, cfg, fleet(3)...)
@@ -21,8 +21,8 @@
 }
 
 // TestFailedPollIsRepeatedInTime checks that a failed poll is repeated within 5 s, however long the
-// settings allow between two polls: a balancer is expected to know of a change 6 s after discovery
-// is available again.
+// settings allow between two polls: a balancer is expected to know of a change 6 s after the
+// discovery service is available again.
 func TestFailedPollIsRepeatedInTime(t *testing.T) {
 	for _, interval := range []Time{10 * sec, 20 * sec, 60 * sec} {
 		for _, instances := range []int{1, 30, 300} {
@@ -35,7 +35,7 @@
 
 // TestSmallFleetHasTimeForSecondPoll checks that 6 balancers poll often enough for two polls within
 // the time after which a balancer is expected to know of a change. The first poll after a long
-// outage may find discovery overloaded.
+// outage may find the discovery service overloaded.
 func TestSmallFleetHasTimeForSecondPoll(t *testing.T) {
 	cfg := settings()
 	cfg.PollsDiscovery, cfg.PollInterval, cfg.Instances = true, 10*sec, 6
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -17,8 +17,9 @@
 	at            Time
 }
 
-// fake takes the place of the proxy core of one balancer: it records the effects that the balancer
-// calls. Tests call its methods to pass events to the balancer. The maps are keyed by request ID.
+// fake takes the place of the proxy core of one balancer: it records the calls that the balancer
+// makes to its Effects. Tests call its methods to pass events to the balancer. The maps are keyed
+// by request ID.
 type fake struct {
 	t               testing.TB
 	b               *Balancer
@@ -35,7 +36,7 @@
 	timers          []timer  // not fired yet, in the order in which they were set
 	peerMessages    [][]byte // messages that were sent to other balancers
 	healthChecked   []string // host IDs
-	trace           []string // all effects, one line each
+	trace           []string // all calls of Effects, one line each; the time comes first in those of requests but cancel_attempt
 }
 
 // timer is one call of Effects.Schedule.
@@ -145,15 +146,16 @@
 	return ListedHost{ID: id, Zone: "a", Weight: 1, State: state}
 }
 
-// warming returns a ready host that started at startedAt. It is warming (in slow start) until
-// Config.SlowStartDuration later.
+// warming returns a ready host that started at startedAt. It is warming (in slow start) for
+// Config.SlowStartDuration after that.
 func warming(id string, startedAt Time) ListedHost {
 	h := listed(id, Ready)
 	h.StartedAt = startedAt
 	return h
 }
 
-// hostID returns the ID of host i, from 0, in the result of the function fleet.
+// hostID returns the ID of host i (from 0) of those that the function fleet returns: s00, s01 and
+// so on.
 func hostID(i int) string { return fmt.Sprintf("s%02d", i) }
 
 // fleet returns n ready hosts of zone a and weight 1, with the IDs hostID(0) to hostID(n-1).
@@ -195,7 +197,7 @@
 	f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 2 * sec})
 }
 
-// failConnect records a failed connect to a host, without a request.
+// failConnect records a failure to connect to a host that belongs to no request.
 func (f *fake) failConnect(h *host) {
 	f.b.beginEvent(f.now)
 	f.b.hostFailed(h, f.now, true)
@@ -220,8 +222,8 @@
 	f.attemptEnded(id, status, status == OK)
 }
 
-// attemptEnded reports the end of the newest attempt of a request to the balancer. closed means that
-// the request has its final answer.
+// attemptEnded reports the end of the newest attempt of a request to the balancer. closed is the
+// field Closed of the result: it means that the client has got its final answer.
 func (f *fake) attemptEnded(id string, status AttemptStatus, closed bool) {
 	f.b.AttemptEnded(f.now, AttemptResult{RequestID: id, Attempt: f.attempts[id] - 1, Status: status,
 		Elapsed: 10 * ms, Closed: closed})
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// slowDiscovery is a discovery that answers 14 polls per second, one after the other, and is down from
-// discoveryDown to discoveryUp.
+// slowDiscovery is a discovery service that answers 14 polls per second, one after the other, and
+// is down from discoveryDown to discoveryUp.
 type slowDiscovery struct {
 	queue      []poll
 	busyUntil  Time           // when the next poll can be answered
@@ -22,16 +22,16 @@
 }
 
 const (
-	pollTime      = sec / 14  // time that discovery takes to answer a poll
+	pollTime      = sec / 14  // time that the discovery service takes to answer a poll
 	pollTimeout   = 2 * sec   // after which a poll that waits in the queue fails
 	discoveryDown = 106 * sec // on the clock that starts at 100 s, as does discoveryUp
 	discoveryUp   = 110 * sec
 )
 
-// down reports whether discovery is down.
+// down reports whether the discovery service is down.
 func (d *slowDiscovery) down(now Time) bool { return now >= discoveryDown && now < discoveryUp }
 
-// receivePoll queues a balancer's poll, or fails it while discovery is down.
+// receivePoll queues a balancer's poll, or fails it while the discovery service is down.
 func (d *slowDiscovery) receivePoll(now Time, f *fake) {
 	if now >= discoveryDown {
 		d.polls = append(d.polls, now)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestDiscoveryDownForAll checks that 80 balancers do not all poll at once when discovery fails,
-// and that they poll again soon after it is back.
+// TestDiscoveryDownForAll checks that 80 balancers do not all poll at once when the discovery
+// service fails, and that they poll again soon after it is back.
 func TestDiscoveryDownForAll(t *testing.T) {
 	const instances = 80
 	discovery := slowDiscovery{answeredAt: map[*fake]Time{}}
@@ -92,7 +92,7 @@
 	}
 	most := maxInWindow(discovery.polls, sec)
 	if most > 60 {
-		t.Errorf("%d polls within a second of a discovery that answers 14, want at most 60", most)
+		t.Errorf("%d polls within a second of a discovery service that answers 14, want at most 60", most)
 	}
 	last := Time(0)
 	for _, at := range discovery.answeredAt {
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -174,8 +174,9 @@
 }
 
 // TestReportedLoadOutweighsWeights checks that a host with a large weight in the endpoint list does
-// not get all requests if its reported load is that of the others. Discovery may lower the weight of
-// a host as the host fills, but all balancers receive such a weight late and at the same time.
+// not get all requests if its reported load is that of the others. The discovery service may lower
+// the weight of a host as the host fills, but all balancers receive such a weight late and at the
+// same time.
 func TestReportedLoadOutweighsWeights(t *testing.T) {
 	attempts := 0
 	for instance := range 3 {
--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -18,7 +18,7 @@
 // noRevision is the revision of a client that has no list of the service that it calls.
 const noRevision = -1
 
-// call is one request to discovery.
+// call is one request to the discovery service.
 type call struct {
 	client       *Client
 	fromRevision int64        // the client's revision when the call started; negative if it had no list
@@ -66,11 +66,11 @@
 	q.conn.Write([]byte("GET " + q.target + " HTTP/1.1\r\nHost: " + q.client.address + "\r\nAccept: application/json\r\n\r\n"))
 }
 
-// Data handles the response of discovery once the response is complete.
+// Data handles the response of the discovery service once the response is complete.
 func (q *call) Data(c *netio.Conn) { q.parse(false) }
 
 // parse ends the call once the input holds a complete or an invalid response. ended reports whether
-// discovery has ended the connection.
+// the discovery service has ended the connection.
 func (q *call) parse(ended bool) {
 	r, err := parseResponse(q.conn.Input(), ended)
 	if r != nil || err != nil {
@@ -81,11 +81,11 @@
 // Writable does nothing: the request is one short write.
 func (q *call) Writable(*netio.Conn) {}
 
-// Closed handles the end of the connection by discovery, which may complete a response.
+// Closed handles the end of the connection by the discovery service, which may complete a response.
 func (q *call) Closed(c *netio.Conn, err *netio.Error) {
 	if q.reused && len(c.Input()) == 0 {
-		// Discovery closed the idle connection before it read this call. That is no failure: a new
-		// connection is opened.
+		// The discovery service closed the idle connection before it read this call. That is no failure: a
+		// new connection is opened.
 		q.reused = false
 		q.connect()
 		return
@@ -167,7 +167,7 @@
 // idleHandler handles the events of an idle connection, which is kept for the next call.
 type idleHandler struct{ client *Client }
 
-// Data closes the connection, because discovery must not send anything without a call.
+// Data closes the connection, because the discovery service must not send anything without a call.
 func (h idleHandler) Data(c *netio.Conn) {
 	c.Close()
 }
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// hostsPath is the path of the endpoint list at discovery.
+	// hostsPath is the path of the endpoint list at the discovery service.
 	hostsPath = "/discovery/hosts"
-	// minWatchTimeout and maxWatchTimeout bound how long discovery may hold a call of the watch. Between
-	// these bounds the time is watchTimeoutPerProxy for each proxy that uses discovery, so that up to 80
-	// proxies together make at most four calls a second and discovery can answer them. The shorter the
-	// time, the sooner a watch whose connection has died is noticed and repeated.
+	// minWatchTimeout and maxWatchTimeout bound how long the discovery service may hold a call of the watch.
+	// Between these bounds the time is watchTimeoutPerProxy for each proxy that uses the discovery service,
+	// so that up to 80 proxies together make at most four calls a second and the discovery service can answer
+	// them. The shorter the time, the sooner a watch whose connection has died is noticed and repeated.
 	minWatchTimeout      = 4 * time.Second
 	maxWatchTimeout      = 20 * time.Second
 	watchTimeoutPerProxy = 250 * time.Millisecond
-	// watchAnswerTimeout is how long the answer may take beyond the time for which discovery may hold the
-	// call (watchTimeout). It is shorter than the 2 s after which a list counts as received late.
+	// watchAnswerTimeout is how long the answer may take beyond the time for which the discovery service may
+	// hold the call (watchTimeout). It is shorter than the 2 s after which a list counts as received late.
 	watchAnswerTimeout = 1200 * time.Millisecond
-	// fullListTimeout bounds a call for the complete list. It is longer than discovery's own limit of 2 s: a
-	// call that is ended and repeated sooner would add to the load of a slow discovery.
+	// fullListTimeout bounds a call for the complete list. It is longer than the discovery service's own
+	// limit of 2 s: a call that is ended and repeated sooner would add to the load of a slow discovery
+	// service.
 	fullListTimeout = 2300 * time.Millisecond
 	// connectTimeout bounds the opening of a connection.
 	connectTimeout = time.Second
@@ -36,23 +37,24 @@
 	// pause of the decision module, which otherwise decides when to call again, may be longer.
 	redirectSettleTime = 3500 * time.Millisecond
 	redirectRetryPause = 150 * time.Millisecond
-	// The next three constants apply to an agent on this machine, to which discovery pushes its lists.
-	// Calls on it are cheap, and a list counts as received as soon as the agent has it. So a call whose
-	// connection has died is ended and repeated within the 250 ms that the contract allows between
+	// The next three constants apply to an agent on this machine, to which the discovery service pushes its
+	// lists. Calls on it are cheap, and a list counts as received as soon as the agent has it. So a call
+	// whose connection has died is ended and repeated within the 250 ms that the contract allows between
 	// receiving a list and following it.
 	agentWatchTimeout  = 100 * time.Millisecond
 	agentAnswerTimeout = 80 * time.Millisecond
 	agentRetryPause    = 30 * time.Millisecond
 )
 
-// Client is a client of discovery. While the watch is on, it follows the endpoint list by one call after the
-// other on one connection. FetchList fetches the complete list. All methods must be called on the loop.
+// Client is a client of the discovery service. While the watch is on, it follows the endpoint list by one
+// call after the other on one connection. FetchList fetches the complete list. All methods must be called on
+// the loop.
 type Client struct {
 	loop          *netio.Loop
 	dialer        *netio.Dialer
 	address       string
 	notify        func(proxy.WatchEvent)
-	watchTimeout  time.Duration // how long discovery may hold a call of the watch
+	watchTimeout  time.Duration // how long the discovery service may hold a call of the watch
 	answerTimeout time.Duration // how long the answer may take beyond watchTimeout
 	followsAgent  bool          // the service is an agent on this machine; see FollowAgent
 
@@ -71,23 +73,23 @@
 
 // Options configure a Client.
 type Options struct {
-	Address    string                 // of discovery
-	ProxyCount int                    // number of proxies that use the same discovery
+	Address    string                 // of the discovery service
+	ProxyCount int                    // number of proxies that use the same discovery service
 	Revision   int64                  // of the list that the client has already; negative if it has none
 	Notify     func(proxy.WatchEvent) // called on the loop with each change of the list and reported failure
 }
 
-// NewClient returns a client of discovery. It makes no call until FollowAgent, WatchList, Redirect or
-// FetchList is called.
+// NewClient returns a client of the discovery service. It makes no call until FollowAgent, WatchList,
+// Redirect or FetchList is called.
 func NewClient(l *netio.Loop, d *netio.Dialer, o Options) *Client {
 	watchTimeout := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.ProxyCount)*watchTimeoutPerProxy))
 	return &Client{loop: l, dialer: d, address: o.Address, watchTimeout: watchTimeout, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
 }
 
-// FollowAgent turns on a watch of an agent on this machine, to which discovery pushes its lists, without a
-// request of the decision module, which otherwise decides when to watch. A call that fails is repeated
-// after agentRetryPause and not reported: the agent is silent while discovery is silent, and the client
-// then has the latest list.
+// FollowAgent turns on a watch of an agent on this machine, to which the discovery service pushes its lists,
+// without a request of the decision module, which otherwise decides when to watch. A call that fails is
+// repeated after agentRetryPause and not reported: the agent is silent while the discovery service is silent,
+// and the client then has the latest list.
 func (c *Client) FollowAgent() {
 	c.followsAgent, c.watchTimeout, c.answerTimeout = true, agentWatchTimeout, agentAnswerTimeout
 	c.WatchList(true)
@@ -138,9 +140,9 @@
 	c.callWatch()
 }
 
-// callWatch makes the next call of the watch. Without a list it calls for the complete list. The next call
-// is made right after an answer, because discovery ends a watch if the next call does not arrive within
-// 200 ms of the last answer.
+// callWatch makes the next call of the watch. Without a list it calls for the complete list. The next call is
+// made right after an answer, because the discovery service ends a watch if the next call does not arrive
+// within 200 ms of the last answer.
 func (c *Client) callWatch() {
 	target, timeout := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
 	if c.revision < 0 {
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -26,8 +26,9 @@
 	"SSH-2.0-x\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nbad\r\n\r\n", "",
 }
 
-// FuzzResponse parses each prefix of the input. The result must be the same as for the complete input, and
-// no input may cause a panic or exceed the limits.
+// FuzzResponse parses each prefix of the input. A prefix may be incomplete. The first result or error that a
+// prefix yields must agree with the result for the complete input, and no input may cause a panic or exceed
+// the limits.
 func FuzzResponse(f *testing.F) {
 	for _, s := range responseSeeds {
 		f.Add([]byte(s))
@@ -60,7 +61,7 @@
 		if err != nil {
 			t.Errorf("parseResponse(%q) returned the error %v, want none", responseSeeds[i], err)
 		} else if got := fmt.Sprintf("%d %s %d %t", r.status, r.body, r.length, r.closes); got != want {
-			t.Errorf("parseResponse(%q) = status, body, length, closes %s, want %s", responseSeeds[i], got, want)
+			t.Errorf("parseResponse(%q) = %s, want %s (status, body, length, closes)", responseSeeds[i], got, want)
 		}
 	}
 	for _, s := range responseSeeds[4:] {
@@ -73,13 +74,13 @@
 	}
 }
 
-// A change of a list is parsed with all its values; invalid lists cause an error.
+// ParseList parses a change of an endpoint list with all fields of a host. Invalid lists cause an error.
 func TestParse(t *testing.T) {
 	ch, err := ParseList([]byte(`{"rev":43,"all":false,"targets":[{"uid":"s","endpoint":"1.2.3.4:5","az":"a","model":"m",
 		"pod_group":3,"state":"draining","capacity_hint":1.5,"boot_ms":1700000000123,"new":1},
 		{"uid":"t","state":"removed"}]}`))
 	if err != nil || ch.Kind != balancer.ListDelta || ch.Version != 43 || len(ch.Hosts) != 2 {
-		t.Fatalf("ParseList returned %+v, %v; want a change with version 43 and 2 hosts", ch, err)
+		t.Fatalf("ParseList returned %+v and the error %v; want a change with version 43 and 2 hosts", ch, err)
 	}
 	if h := ch.Hosts[0]; h.StartedAt != 1700000000123000000 || h.State != balancer.Draining || h.Address != "1.2.3.4:5" ||
 		h.Weight != 1.5 || h.Cell != 3 || h.Zone != "a" || h.Kind != "m" {
@@ -104,8 +105,9 @@
 	return ln
 }
 
-// discoveryWithAnswers starts a service that sends its answers in order, each a status and a body, and does
-// not answer later calls. It sends its name and the target of each call to calls.
+// discoveryWithAnswers starts a discovery service that sends the answers in order, and does not answer later
+// calls. An answer is a status of three digits, a blank and the body. The service sends name and the target
+// of each call to calls.
 func discoveryWithAnswers(t *testing.T, calls chan<- string, name string, answers ...string) (addr string) {
 	t.Helper()
 	ln := listen(t)
@@ -156,8 +158,9 @@
 	}
 }
 
-// The more proxies use a discovery, the longer their watches wait, so that up to 80 proxies together make at
-// most four calls a second and discovery can answer them.
+// The more proxies use a discovery service, the longer their watches wait, so that up to 80 proxies together
+// make at most four calls a second and the discovery service can answer them. A watch waits for at least 4 s
+// and at most 20 s.
 func TestWatchesWaitLongerInALargerFleet(t *testing.T) {
 	for _, c := range []struct {
 		proxies int
@@ -169,13 +172,13 @@
 			t.Errorf("the watch timeout for %d proxies is %v, want %v", c.proxies, k.watchTimeout, c.want)
 		}
 		if k.watchTimeout+watchAnswerTimeout >= k.watchTimeout+2*time.Second {
-			t.Errorf("for %d proxies a silent call takes %v, want less than 2 s beyond the watch timeout, when its list counts as received late",
+			t.Errorf("for %d proxies a call without an answer ends after %v, want less than 2 s after the watch timeout, since a later list counts as late",
 				c.proxies, k.watchTimeout+watchAnswerTimeout)
 		}
 	}
 }
 
-// fullList returns a complete list of n hosts in discovery's form.
+// fullList returns a complete list of n hosts in the format of the discovery service.
 func fullList(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"rev":7,"all":true,"targets":[`)
@@ -192,7 +195,7 @@
 
 // Parsing a large list must cost at most 12 allocations a host. The cost of a host must not grow much with
 // the length of the list.
-func TestListOfAThousand(t *testing.T) {
+func TestAllocationsOfParseList(t *testing.T) {
 	allocationsPerHost := func(n int) float64 {
 		data := fullList(n)
 		return testing.AllocsPerRun(5, func() {
@@ -204,7 +207,7 @@
 	}
 	small, large := allocationsPerHost(60), allocationsPerHost(1000)
 	if large > 12 || large > small*1.5 {
-		t.Errorf("%.1f allocations a host in a list of 1,000 and %.1f in one of 60, want at most 12 and at most 1.5 times as many", large, small)
+		t.Errorf("ParseList of 1,000 hosts makes %.1f allocations a host, want at most 12, and at most 1.5 times the %.1f for a list of 60 hosts", large, small)
 	}
 }
 
--- a/internal/dataplane/cluster/failure.go
+++ b/internal/dataplane/cluster/failure.go
@@ -10,7 +10,7 @@
 // errBadStatus is the error for a response whose HTTP status is not 200. The status follows its text.
 var errBadStatus = errors.New("status")
 
-// failureReason is the reason in the log why a call to discovery failed.
+// failureReason is the reason in the log why a call to the discovery service failed.
 type failureReason int
 
 const (
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// The limits, in bytes, for a response of discovery. maxHeadBytes also bounds the line with the size of a chunk
-// and the trailer.
+// The limits, in bytes, for a response of the discovery service. maxHeadBytes also bounds the line with the
+// size of a chunk and the trailer.
 const (
 	maxHeadBytes = 16 << 10
 	maxBodyBytes = 1 << 20
@@ -95,7 +95,8 @@
 	return h, nil
 }
 
-// setField applies one header field. name must be in lower case. Fields with other names are ignored.
+// setField applies one header field. name must be in lower case. It ignores all
+// fields but Content-Length, Transfer-Encoding and Connection.
 func (h *responseHead) setField(name, value string) error {
 	switch name {
 	case "content-length":
--- a/internal/dataplane/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -1,4 +1,4 @@
-// Package cluster provides the client of discovery, which watches the list of upstream hosts.
+// Package cluster provides the client of the discovery service, which watches the list of upstream hosts.
 package cluster
 
 import (
@@ -10,15 +10,15 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// list is discovery's JSON form of an endpoint list, or of a change of one if All is false. Rev is the
-// list's revision; nil means that the field is missing.
+// list is the discovery service's JSON form of an endpoint list, or of a change of one if All is false. Rev
+// is the list's revision; nil means that the field is missing.
 type list struct {
 	Rev     *int64  `json:"rev"`
 	All     bool    `json:"all"`
 	Targets []entry `json:"targets"`
 }
 
-// entry is discovery's JSON form of one host.
+// entry is the discovery service's JSON form of one host.
 type entry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -30,11 +30,11 @@
 	BootMS   int64   `json:"boot_ms"` // the host's start, as Unix time in milliseconds; 0 if unknown
 }
 
-// hostStates maps discovery's names of host states.
+// hostStates maps the discovery service's names of host states.
 var hostStates = map[string]balancer.HostState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
 
-// ParseList parses an endpoint list or a change of it, in the form used by discovery and by the field "known"
-// of the platform configuration.
+// ParseList parses an endpoint list or a change of it, in the form used by the discovery service and by the
+// field "known" of the platform configuration.
 func ParseList(data []byte) (proxy.WatchEvent, error) {
 	var l list
 	if err := json.Unmarshal(data, &l); err != nil {
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -50,7 +50,7 @@
 	<-done
 }
 
-// newScriptedDiscovery starts a scripted discovery and its client.
+// newScriptedDiscovery starts a scripted discovery service and its client.
 func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
 	s := &scriptedDiscovery{calls: make(chan receivedCall, 64), changes: make(chan proxy.WatchEvent, 64)}
@@ -141,8 +141,8 @@
 	}
 }
 
-// A new discovery that takes 1.9 s for each call is called once. Calls that time out and are repeated would
-// keep it busy with answers that the client discards.
+// A new discovery service that takes 1.9 s for each call is called once. Calls that time out and are repeated
+// would keep it busy with answers that the client discards.
 func TestASlowDiscoveryIsNotCalledAgain(t *testing.T) {
 	s := newScriptedDiscovery(t)
 	addr := s.client.address
@@ -156,7 +156,7 @@
 	if next := <-s.calls; !strings.Contains(next.target, "from=5") {
 		t.Errorf("the next call is %s, want one with from=5: the client repeated the call before the answer", next.target)
 	}
-	// A discovery that never answers is called again before its list counts as received late.
+	// A discovery service that never answers is called again before its list counts as received late.
 	s.loop.Post(func() { s.client.address = "127.0.0.1:1"; s.client.Redirect(addr) })
 	<-s.calls
 	s.advanceClock(fullListTimeout)
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -102,7 +102,7 @@
 func expect(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	if got, err := io.ReadAll(c); string(got) != want || err != nil {
-		t.Errorf("the client read %q, %v; want %q", got, err, want)
+		t.Errorf("the client read %q and the error %v; want %q", got, err, want)
 	}
 }
 
@@ -112,7 +112,7 @@
 	got := make([]byte, len(want))
 	if io.WriteString(c, send); want != "" {
 		if _, err := io.ReadFull(c, got); err != nil || string(got) != want {
-			t.Fatalf("the answer to %q is %q, %v; want %q", send, got, err, want)
+			t.Fatalf("the answer to %q is %q and the error %v; want %q", send, got, err, want)
 		}
 	}
 }
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -98,7 +98,7 @@
 		out := o.WithWait(1234 * time.Millisecond)
 		again, err := ParseOpenLine(out)
 		if err != nil || again.Wait != 1234*time.Millisecond || !again.HasWait {
-			t.Fatalf("WithWait of %q = %q, which parses to %+v, %v; want Wait 1.234s", l, out, again, err)
+			t.Fatalf("WithWait of %q = %q, which parses to %+v and the error %v; want Wait 1.234s", l, out, again, err)
 		}
 		again.Wait, again.HasWait = o.Wait, o.HasWait
 		if again.Opening != o.Opening {
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -40,7 +40,7 @@
 }
 
 // NewDialer returns a dialer that makes up to n dials at a time, on n goroutines, which it starts and
-// which run as long as the process. Connections are driven on l.
+// which run as long as the process. The handlers of the connections run on l.
 func NewDialer(l *Loop, n int) *Dialer {
 	d := &Dialer{loop: l, dialsPerAddress: map[string]int{}, maxPerAddress: max(1, n/4), dial: netpoll.DialConnection}
 	d.ready = sync.NewCond(&d.mu)
@@ -50,7 +50,8 @@
 	return d
 }
 
-// Dial opens a connection to addr. It calls done once, on the loop, unless Cancel is called first. The
+// Dial opens a connection to addr. It calls done once, on the loop, with either the connection or
+// the error and nil for the other one, unless Cancel is called first. The
 // timeout includes the wait for a free goroutine. h handles the connection; limit is the number of bytes
 // of input at which reading pauses. It must be called on the loop.
 func (d *Dialer) Dial(addr string, timeout time.Duration, limit int, h Handler, done func(*Conn, *Error)) *Dial {
@@ -132,11 +133,11 @@
 	}
 }
 
-// connect opens the connection before the dial's deadline. It retries a connect that fails because this
+// connect opens the connection before the dial's deadline. It retries an attempt that fails because this
 // machine has no descriptor, port or memory left. Otherwise the host would be ejected (get no requests)
 // for a shortage on this machine.
 func (d *Dialer) connect(q *Dial) (np netpoll.Connection, err error) {
-	err = errors.New("the dial ended before a connect was made")
+	err = errors.New("the dial ended before a connection was attempted")
 	for {
 		timeLeft := time.Duration(q.deadline - d.loop.Now())
 		d.mu.Lock()
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -36,7 +36,7 @@
 		c := dial(t, addr)
 		c.Write([]byte("."))
 		if got, readErr := io.ReadAll(c); string(got) != "a line\r\n" || readErr != nil {
-			t.Errorf("write failing with %v: read %q, %v; want \"a line\\r\\n\" and no error", err, got, readErr)
+			t.Errorf("write failing with %v: read %q and the error %v; want \"a line\\r\\n\" and no error", err, got, readErr)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	c.Write([]byte("."))
 	got, err := io.ReadAll(c)
 	if string(got) != "UP x\r\n" || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the client read %q, %v; want \"UP x\\r\\n\" and a reset", got, err)
+		t.Errorf("the client read %q and the error %v; want \"UP x\\r\\n\" and a reset", got, err)
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	start(t, l)
 	if got, err := io.ReadAll(c); string(got) != "here\r\n" {
-		t.Errorf("the client read %q, %v; want \"here\\r\\n\"", got, err)
+		t.Errorf("the client read %q and the error %v; want \"here\\r\\n\"", got, err)
 	}
 }
 
@@ -138,7 +138,7 @@
 			c.Write([]byte("."))
 		}
 		if got, err := io.ReadAll(c); err != nil || len(got) < len("half of a line.") || string(got[:15]) != "half of a line." {
-			t.Errorf("closed by netpoll %d times: read %q, %v; want \"half of a line.\" at the start", times, got, err)
+			t.Errorf("closed by netpoll %d times: read %q and the error %v; want \"half of a line.\" at the start", times, got, err)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	for range 3 {
 		c := dial(t, n.Addr().String())
 		if got, err := io.ReadAll(c); string(got) != "here\r\n" {
-			t.Errorf("the client read %q, %v; want \"here\\r\\n\"", got, err)
+			t.Errorf("the client read %q and the error %v; want \"here\\r\\n\"", got, err)
 		}
 	}
 }
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -124,7 +124,7 @@
 	<-stopped
 	got, err := io.ReadAll(io.LimitReader(c, int64(len(sent))))
 	if err != nil || !bytes.Equal(got, sent) {
-		t.Errorf("the echo has %d bytes, %v; want the %d bytes sent", len(got), err, len(sent))
+		t.Errorf("the echo has %d bytes and the error %v; want the %d bytes sent", len(got), err, len(sent))
 	}
 	c.Close()
 	if err := <-closed; err.Cause != Ended {
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -67,7 +67,7 @@
 			t.Fatal(err)
 		}
 		if n, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, sent) {
-			t.Fatalf("round %d: the echo has %d bytes, %v; want the %d bytes sent", round, n, err, len(sent))
+			t.Fatalf("round %d: the echo has %d bytes and the error %v; want the %d bytes sent", round, n, err, len(sent))
 		}
 	}
 	select {
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -110,7 +110,7 @@
 	slog.Error("invariant_broken", "rule", r, "request", id)
 }
 
-// Run starts the core with discovery d and the endpoint list initialList. newBalancer creates a
+// Run starts the core with the discovery service d and the endpoint list initialList. newBalancer creates a
 // balancer that requests its actions, such as to start an attempt, from fx; the core calls
 // newBalancer once for each pool. Run returns an error if it cannot create the balancer of the pool
 // main.
--- a/internal/dataplane/proxy/endpointlist.go
+++ b/internal/dataplane/proxy/endpointlist.go
@@ -8,7 +8,7 @@
 // failed watch or fetch.
 type WatchEvent struct {
 	Kind    balancer.ListChange // whether Hosts is the complete list or a change, or that there is no list
-	Version int64               // the list's revision, which discovery assigned; 0 for a failure
+	Version int64               // the list's revision, which the discovery service assigned; 0 for a failure
 	Hosts   []HostEntry
 }
 
@@ -84,7 +84,7 @@
 }
 
 // notifyLocalChange notifies the balancer of a pool of changes of a host that do not come from
-// discovery: a suspension, a watermark or a transfer between pools. The balancer applies the
+// the discovery service: a suspension, a watermark or a transfer between pools. The balancer applies the
 // entries in order.
 func (c *Core) notifyLocalChange(p *pool, entries ...balancer.ListedHost) {
 	c.notify(nil, p, func(now balancer.Time, m Balancer) {
--- a/internal/dataplane/proxy/healthcheck.go
+++ b/internal/dataplane/proxy/healthcheck.go
@@ -22,8 +22,9 @@
 }
 
 // healthCheckDone records the host's load, if the health check returned one, and notifies the
-// balancer of the result. load is in the settings' order of fields, or nil; the field with the
-// index LoadField (negative if there is none) is the host's load divided by its capacity.
+// balancer of the result. load has the values of the load report's fields, in the settings' order, or is
+// nil. The value with the index LoadField is the host's load divided by the host's capacity. A negative
+// LoadField means that no field holds the load; a negative value is not recorded.
 func (c *Core) healthCheckDone(p *pool, id string, startedAt balancer.Time, status balancer.AttemptStatus, load []float64) {
 	if h, field := c.hosts.byID[id], c.opt.Settings.LoadField; h != nil && field >= 0 && field < len(load) && load[field] >= 0 {
 		h.checkedLoad, h.checkedAt = load[field], c.loop.Now()
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -15,7 +15,7 @@
 	hostID    string
 	zone      string
 	address   string              // where the proxy connects; "" before the first list that contains the host
-	listed    balancer.ListedHost // the latest entry from discovery
+	listed    balancer.ListedHost // the latest entry from the discovery service
 	state     balancer.HostState  // effective state, which accounts for suspensions and watermarks
 	startedAt balancer.Time       // latest start of the host, on this process's clock
 	pool      *pool               // the subset of hosts to which it belongs; nil while it moves between two and gets no new requests
--- a/internal/dataplane/proxy/hosts_test.go
+++ b/internal/dataplane/proxy/hosts_test.go
@@ -13,7 +13,7 @@
 func (b blockingWatermarks) ListUpdated(WatchEvent) []string        { return nil }
 func (b blockingWatermarks) Blocks(id string, _ balancer.Time) bool { return id == string(b) }
 
-// A state other than Ready from discovery takes precedence over a suspension, which takes
+// A state other than Ready from the discovery service takes precedence over a suspension, which takes
 // precedence over a watermark.
 func TestEffectiveState(t *testing.T) {
 	table := hostTable{byID: map[string]*host{}, suspensions: maintenance.New(), watermarks: blockingWatermarks("w")}
--- a/internal/dataplane/proxy/hoststart.go
+++ b/internal/dataplane/proxy/hoststart.go
@@ -11,7 +11,7 @@
 // process's clock that counts as a step of the system's clock.
 const minClockOffset = minClockStep
 
-// startClock converts the starts of hosts, which discovery reports in the system's time, to this
+// startClock converts the starts of hosts, which the discovery service reports in the system's time, to this
 // process's clock. This process's clock starts at the system's time and does not change when the
 // system's clock is set.
 type startClock struct {
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -52,7 +52,7 @@
 	SendToPeer(peer int, data []byte)
 }
 
-// Discovery is the part of discovery that the decision module uses.
+// Discovery is the part of the discovery service that the decision module uses.
 type Discovery interface {
 	WatchList(on bool) // begins or ends watching the endpoint list
 	FetchList()        // fetches the complete endpoint list
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -24,7 +24,7 @@
 type Snapshot struct {
 	WrittenAt  int64                    `json:"At"`        // ns on the writer's clock; 0 if written by an earlier version
 	Discovery  string                   `json:"Discovery"` // address of the service that sent the list; Revision is only valid for it
-	Revision   int64                    `json:"Rev"`       // of the endpoint list, as discovery numbers it; negative if there is no list
+	Revision   int64                    `json:"Rev"`       // of the endpoint list, as the discovery service numbers it; negative if there is no list
 	Hosts      []HostEntry              `json:"Hosts"`
 	Suspended  []maintenance.Suspension `json:"Out"`   // hosts that operators suspended by calls at this proxy, not for the fleet of all proxies
 	KnownHosts []string                 `json:"Known"` // every host that an operator's call may suspend or resume
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -82,7 +82,7 @@
 }
 
 // startAfterSuspension returns the assumed start of a host whose suspension has ended. A suspended
-// host is usually restarted, and discovery may not have reported that yet. listed is the latest
+// host is usually restarted, and the discovery service may not have reported that yet. listed is the latest
 // start that it has reported. If the result is a guess, confirmStart corrects it after
 // maintenance.StartUncertainty.
 func (c *Core) startAfterSuspension(h *host, ended maintenance.Suspension, listed balancer.Time) balancer.Time {
@@ -94,11 +94,11 @@
 }
 
 // confirmStart replaces the guessed start of a host whose suspension has ended by the start that
-// discovery reports.
+// the discovery service reports.
 func (c *Core) confirmStart(h *host, guessedStart balancer.Time) {
 	if c.hosts.byID[h.hostID] != h || h.state != balancer.Ready || h.startedAt >= guessedStart {
-		// The host is suspended again or removed, or discovery has reported its start since and the
-		// balancer knows it.
+		// The host is suspended again or removed, or the discovery service has reported its start since and
+		// the balancer knows it.
 		return
 	}
 	suspendedEntry := h.effectiveEntry()
