--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -30,7 +30,7 @@
 		t.Fatalf("expected one rejection and no other answer, got effects %v", f.trace)
 	}
 	if f.rejected["r"] == 0 {
-		t.Fatalf("r was rejected with Retry-After %d, expected one above 0", f.rejected["r"])
+		t.Fatalf("r was rejected with Retry-After %d, expected a Retry-After above 0", f.rejected["r"])
 	}
 }
 
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -72,7 +72,7 @@
 		first := f.lastAttempt().host
 		f.end("r", c.status)
 		if len(f.attemptsStarted) != 2 || f.lastAttempt().host == first {
-			t.Errorf("%s: attempts %v, want one at %s and a retry at another host", c.name, f.attemptsStarted, first)
+			t.Errorf("%s: attempts %v, want the first attempt at %s and a retry at another host", c.name, f.attemptsStarted, first)
 		}
 		if got := f.b.byID[first].ejection.consecutiveFailures; got != c.failures {
 			t.Errorf("%s: %d failures of %s counted, want %d", c.name, got, first, c.failures)
@@ -82,7 +82,7 @@
 			f.serve(fmt.Sprint("w", i))
 		}
 		if n := f.attemptsAt(first, from); (n == 0) != c.avoided {
-			t.Errorf("%s: %d of the next 8 attempts are at %s, want it avoided: %t", c.name, n, first, c.avoided)
+			t.Errorf("%s: %d of the next 8 attempts are at %s; want the host avoided: %t", c.name, n, first, c.avoided)
 		}
 	}
 }
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -100,7 +100,7 @@
 	}
 	answered, sinceUp := len(discovery.answeredAt), float64(last-discoveryUp)/1e9
 	if answered < instances || last > discoveryUp+9*sec {
-		t.Errorf("discovery answered %d of %d balancers, the last one %.1f s after the outage, want all within 9 s",
+		t.Errorf("the discovery service answered %d of %d balancers, the last one %.1f s after the outage, want all within 9 s",
 			answered, instances, sinceUp)
 	}
 	t.Logf("at most %d polls per second, the last of %d answered after %.1f s", most, answered, sinceUp)
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -64,7 +64,7 @@
 			r.t.Fatalf("seed %d: attempt of %s at host %s, which is draining", r.seed, a.request, a.host)
 		}
 		if a.timeout <= 0 || a.at+a.timeout > r.deadline[a.request] {
-			r.t.Fatalf("seed %d: attempt of %s started at %d with timeout %d, want one above 0 and "+
+			r.t.Fatalf("seed %d: attempt of %s started at %d with timeout %d, want a timeout above 0 and "+
 				"an end before its deadline %d", r.seed, a.request, a.at, a.timeout, r.deadline[a.request])
 		}
 		if r.idempotency == NotIdempotent && r.mayHaveRun[a.request] {
@@ -191,7 +191,7 @@
 	for seed := int64(0); seed < 3; seed++ {
 		a, b := runRandomEvents(t, seed, Idempotent), runRandomEvents(t, seed, Idempotent)
 		if strings.Join(a, "\n") != strings.Join(b, "\n") {
-			t.Fatalf("seed %d: the same events caused %d and %d effects, which differ; want the same",
+			t.Fatalf("seed %d: the same events caused %d effects in one run and %d in the other, and the traces differ; want equal traces",
 				seed, len(a), len(b))
 		}
 	}
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -58,7 +58,7 @@
 			"at once and no attempt: effects %v", f.answers["c"], f.trace)
 	}
 	if f.rejected["c"] == 0 {
-		t.Fatalf("request c is rejected without a Retry-After, want one above 0: effects %v", f.trace)
+		t.Fatalf("request c is rejected without a Retry-After, want a Retry-After above 0: effects %v", f.trace)
 	}
 	f.now += 2500 * ms // the queue may be empty by then
 	f.request("d")
--- a/internal/balancer/rulestate_test.go
+++ b/internal/balancer/rulestate_test.go
@@ -103,7 +103,7 @@
 		}
 	}
 	if c.turns(1e9) != maxTurns || c.turns(1) != minTurns {
-		t.Errorf("turns(1e9) = %g and turns(1) = %g, expected %d and %g",
+		t.Errorf("turns(1e9) = %g, turns(1) = %g, expected turns(1e9) = %d, turns(1) = %g",
 			c.turns(1e9), c.turns(1), maxTurns, minTurns)
 	}
 }
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -65,7 +65,7 @@
 	h := next.b.byID["s00"]
 	if !next.b.Ejected(next.now, "s00") || h.ejection.consecutiveFailures != 2 ||
 		next.b.byID["s01"].slowStart.tokens != 3 || next.b.costs.mean != 7 {
-		t.Errorf("restored s00 %+v, s01 with %g tokens, mean cost %g, expected 2 failures, 3 and 7",
+		t.Errorf("restored s00 %+v, s01 with %g tokens, mean cost %g, expected s00 with 2 failures, s01 with 3 tokens, mean cost 7",
 			h, next.b.byID["s01"].slowStart.tokens, next.b.costs.mean)
 	}
 	if next.b.Ejected(next.now+2*sec, "s00") {
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -227,7 +227,7 @@
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Returned: true, Remaining: 4800 * ms})
 		if len(f.attemptsStarted) == from {
 			if f.answers[id] != 1 {
-				t.Fatalf("request %s: no attempt and %d answers, want one of them at once", id, f.answers[id])
+				t.Fatalf("request %s: no attempt and %d answers, want an attempt or an answer at once", id, f.answers[id])
 			}
 			continue
 		}
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -95,8 +95,8 @@
 	return h, nil
 }
 
-// setField applies one header field. name must be in lower case. It ignores all
-// fields but Content-Length, Transfer-Encoding and Connection.
+// setField applies one header field. name must be in lower case. It ignores all fields but
+// Content-Length, Transfer-Encoding and Connection.
 func (h *responseHead) setField(name, value string) error {
 	switch name {
 	case "content-length":
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Two calls are in flight, and the older answer arrives last. It must not undo the newer one.
+// Two calls are in flight, and the older answer arrives last. The older answer must not undo the newer one.
 func TestAnOlderAnswerThatComesLastChangesNothing(t *testing.T) {
 	s := newScriptedDiscovery(t)
 	s.loop.Post(func() { s.client.WatchList(true); s.client.FetchList() })
--- a/internal/dataplane/lineproto/ends_test.go
+++ b/internal/dataplane/lineproto/ends_test.go
@@ -11,8 +11,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// silentBalancer answers no request. It sends the ids of requests that arrive to arrived, and of those
-// whose client has left to left.
+// silentBalancer answers no request. It sends the ID of each request that arrives to the channel arrived, and
+// the ID of each request whose client has left to the channel left.
 type silentBalancer struct {
 	rejectingBalancer
 	arrived, left chan string
@@ -28,8 +28,8 @@
 // openingID is the request ID in opening.
 const openingID = "9b1f03aa5c7e2d41"
 
-// Reading pauses for a client that fills its buffer before its answer, so that its end would not be noticed
-// and attempts would continue. The request must therefore end at once.
+// A request must end at once if its client fills the input buffer before the answer: reading pauses then, so
+// that the end of the client would not be noticed and attempts would continue.
 func TestMuchSentBeforeTheAnswer(t *testing.T) {
 	m := newSilentBalancer()
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -36,7 +36,7 @@
 func (rejectingBalancer) AttemptEnded(balancer.Time, balancer.AttemptResult) {}
 
 // startFront starts a Front, which accepts clients, with capacity for two connections without a request and
-// maxDownstreams with one. dial opens a client's connection; advanceClock advances the Front's clock.
+// maxDownstreams with a request. The Front rejects every request with "BUSY 7". dial opens a client's connection; advanceClock advances the Front's clock.
 func startFront(t *testing.T, maxDownstreams int) (dial func() net.Conn, advanceClock func(time.Duration)) {
 	t.Helper()
 	r := newFrontRig(t, maxDownstreams, func(fx balancer.Effects) proxy.Balancer { return rejectingBalancer{fx} })
@@ -60,7 +60,8 @@
 	<-done
 }
 
-// newFrontRig starts a Front whose core uses the decision module that module returns.
+// newFrontRig starts a Front whose core uses the decision module that module returns. The Front has capacity
+// for two connections without a request and maxDownstreams with a request. Its clock starts at 1e18 ns.
 func newFrontRig(t *testing.T, maxDownstreams int, module func(balancer.Effects) proxy.Balancer) *frontRig {
 	t.Helper()
 	var now atomic.Int64
@@ -98,7 +99,7 @@
 	return r
 }
 
-// expect checks that a client reads want up to the orderly end of its connection.
+// expect checks that a client reads exactly want before the orderly end of the client's connection.
 func expect(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	if got, err := io.ReadAll(c); string(got) != want || err != nil {
@@ -106,7 +107,8 @@
 	}
 }
 
-// exchange sends a text and checks the answer. It reads nothing if want is empty.
+// exchange sends a text, which may be several lines or a part of a line, and checks that the answer is want.
+// It reads nothing if want is empty.
 func exchange(t *testing.T, c net.Conn, send, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
@@ -134,7 +136,8 @@
 	exchange(t, next, opening, "BUSY 7\r\n")
 }
 
-// The time for a first line does not depend on the number of its pieces; a PING extends it.
+// The time for a first line does not depend on the number of pieces in which the line arrives. A PING
+// extends the time.
 func TestFirstLineInTime(t *testing.T) {
 	dial, advanceClock := startFront(t, 1)
 	silent := dial()
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -81,7 +81,7 @@
 }
 
 // FuzzOpen checks that invalid lines cause an error and no panic, and that WithWait changes only the
-// field d.
+// field d, the wait in milliseconds.
 func FuzzOpen(f *testing.F) {
 	for _, s := range append(invalidOpenLines, validOpenLines...) {
 		f.Add([]byte(s + "\r\n"))
--- a/internal/dataplane/lineproto/upstream_test.go
+++ b/internal/dataplane/lineproto/upstream_test.go
@@ -21,7 +21,7 @@
 func (noEvents) UpstreamReady()                    {}
 func (noEvents) UpstreamEnded(err *netio.Error)    {}
 
-// An attempt ends while its request line is unsent because the kernel is short of buffers. It counts as one
+// An attempt ends while its request line is unsent because the kernel is short of buffers. The attempt counts as one
 // that has not run, so the line must not go out afterwards.
 func TestLineOfAnEndedAttemptIsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -51,9 +51,9 @@
 }
 
 // Dial opens a connection to addr. It calls done once, on the loop, with either the connection or
-// the error and nil for the other one, unless Cancel is called first. The
-// timeout includes the wait for a free goroutine. h handles the connection; limit is the number of bytes
-// of input at which reading pauses. It must be called on the loop.
+// the error and nil for the other argument, unless Cancel is called first. The timeout includes the wait
+// for a free goroutine. h handles the connection; limit is the number of bytes of input at which reading
+// pauses. Dial must be called on the loop.
 func (d *Dialer) Dial(addr string, timeout time.Duration, limit int, h Handler, done func(*Conn, *Error)) *Dial {
 	q := &Dial{dialer: d, addr: addr, limit: limit, deadline: d.loop.Now() + int64(timeout), handler: h, done: done}
 	// The timer keeps the deadline by the loop's clock, in addition to netpoll's own timeout. It also
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// A connect that fails because this machine is short of descriptors or ports is retried, since the host is
+// An attempt to connect that fails because this machine is short of descriptors or ports is retried, since the host is
 // not at fault. A refused connection is reported at once.
 func TestAConnectOutlivesAMachineShortOfDescriptors(t *testing.T) {
 	l, addr, _ := serve(t, func(*Conn) {})
@@ -186,7 +186,7 @@
 	return f.Listener.Accept()
 }
 
-// Accepting continues after any error of one accept, and without delay once there are descriptors again.
+// Accepting continues after any error of an Accept call, and without delay once there are descriptors again.
 func TestAcceptingOutlivesItsErrors(t *testing.T) {
 	l, n := runningLoop(t), bindListener(t)
 	n.Listener = &flakyListener{Listener: n.Listener, errs: []error{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EINTR, syscall.EPERM,
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -171,7 +171,8 @@
 	}
 }
 
-// A cancelled dial does not call done, a refused one reports that, and an established one delivers input.
+// A cancelled dial does not call done, a refused dial reports the refusal, and an established connection
+// delivers input.
 func TestDial(t *testing.T) {
 	l, addr, _ := serve(t, func(c *Conn) { c.Write(c.Input()); c.Consume(len(c.Input())) })
 	d := NewDialer(l, 4)
@@ -197,7 +198,8 @@
 	}
 }
 
-// Dials to an address that does not answer must not occupy all goroutines of the dialer.
+// Dials to an address that does not answer must not occupy all goroutines of the dialer, so that dials to
+// other addresses start.
 func TestVanishedHostLeavesDialers(t *testing.T) {
 	d := &Dialer{loop: NewLoop(), dialsPerAddress: map[string]int{"vanished": 1}, maxPerAddress: 1}
 	for _, addr := range []string{"vanished", "vanished", "alive"} {
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -180,7 +180,7 @@
 	}
 	for id, r := range w.core.requests {
 		if !r.answered() || r.attempt == nil {
-			t.Errorf("request %s is still in the table: answered %t, has an attempt %t, want true, true", id, r.answered(), r.attempt != nil)
+			t.Errorf("request %s is still in the table: answered %t, has an attempt %t, want an answered request with an attempt", id, r.answered(), r.attempt != nil)
 		}
 	}
 }
--- a/internal/dataplane/proxy/decide_test.go
+++ b/internal/dataplane/proxy/decide_test.go
@@ -27,6 +27,6 @@
 		t.Errorf("steps ran in the order %q, want %q", steps, want)
 	}
 	if d.running || d.events != nil || d.effects != nil {
-		t.Errorf("after submit: running %t, events %v, effects %v, want false, nil, nil", d.running, d.events, d.effects)
+		t.Errorf("after submit: running %t, events %v, effects %v, want running false, events nil, effects nil", d.running, d.events, d.effects)
 	}
 }
--- a/internal/dataplane/proxy/loadordelay_test.go
+++ b/internal/dataplane/proxy/loadordelay_test.go
@@ -60,7 +60,7 @@
 }
 
 // If a host's own load is known from a health check, small figures are loads while the host has
-// capacity left. Delays are recognised by the second one, exactly a second after the first. The
+// capacity left. A delay is recognised when a second one follows exactly a second later. The
 // load that the first delay was taken for is then corrected. 0.4, 0.7 and 1.1 are the host's load
 // divided by its capacity.
 func TestDelayWithKnownHostLoad(t *testing.T) {
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -111,7 +111,7 @@
 			}
 			for elapsed, before := int64(0), 0; elapsed <= s.exitBy; elapsed += int64(10 * time.Millisecond) {
 				if migrationsDue := s.migrationsDue(100, elapsed); migrationsDue < before || elapsed >= s.migrateBy && migrationsDue != 100 {
-					t.Fatalf("deadline %v, handed over %t: %d of 100 migrations due after %v and %d before that, want no fewer and 100 from migrateBy on", deadline, handedOver, migrationsDue, time.Duration(elapsed), before)
+					t.Fatalf("deadline %v, handed over %t: %d of 100 migrations due after %v, want at least the %d that were due earlier, and all 100 from migrateBy on", deadline, handedOver, migrationsDue, time.Duration(elapsed), before)
 				} else {
 					before = migrationsDue
 				}
