--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -36,7 +36,7 @@
 	timers          []timer  // not fired yet, in the order in which they were set
 	peerMessages    [][]byte // messages that were sent to other balancers
 	healthChecked   []string // host IDs
-	trace           []string // all calls of Effects, one line each; the time comes first in those of requests but cancel_attempt
+	trace           []string // all calls of Effects, one line each; only some start with the time
 }
 
 // timer is one call of Effects.Schedule.
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -10,7 +10,7 @@
 // is down from discoveryDown to discoveryUp.
 type slowDiscovery struct {
 	queue      []poll
-	busyUntil  Time           // when the next poll can be answered
+	busyUntil  Time           // the time from which the next poll can be answered
 	polls      []Time         // times of the polls since the start of the outage
 	answeredAt map[*fake]Time // time of the last answer since the end of the outage, by balancer
 }
@@ -63,7 +63,7 @@
 }
 
 // TestDiscoveryDownForAll checks that 80 balancers do not all poll at once when the discovery
-// service fails, and that they poll again soon after it is back.
+// service fails, and that the service has answered all of them within 9 s of its return.
 func TestDiscoveryDownForAll(t *testing.T) {
 	const instances = 80
 	discovery := slowDiscovery{answeredAt: map[*fake]Time{}}
@@ -92,7 +92,7 @@
 	}
 	most := maxInWindow(discovery.polls, sec)
 	if most > 60 {
-		t.Errorf("%d polls within a second of a discovery service that answers 14, want at most 60", most)
+		t.Errorf("%d polls within a second of a discovery service that answers 14 per second, want at most 60", most)
 	}
 	last := Time(0)
 	for _, at := range discovery.answeredAt {
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -154,7 +154,7 @@
 	expect("new /discovery/hosts")
 	expect("new /discovery/hosts?from=3&hold_ms=4000")
 	if ch := <-changes; ch.Kind != balancer.ListFull || ch.Version != 3 || len(changes) > 0 {
-		t.Errorf("the client reported %+v and %d more events, want only the complete list with version 3", ch, len(changes))
+		t.Errorf("the client reported %+v and %d more events, want the complete list with version 3 and no more events", ch, len(changes))
 	}
 }
 
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -17,11 +17,11 @@
 
 // receivedCall is a call that a scriptedDiscovery has read. It gets no answer until the test sends one.
 type receivedCall struct {
-	target string
+	target string // the path and the query
 	conn   net.Conn
 }
 
-// answer sends a response with the given body.
+// answer sends a response with status 200 and the given body.
 func (a receivedCall) answer(body string) {
 	fmt.Fprintf(a.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -50,7 +50,8 @@
 	<-done
 }
 
-// newScriptedDiscovery starts a scripted discovery service and its client.
+// newScriptedDiscovery starts a scripted discovery service and its client. The client makes no call until
+// the test makes it watch or fetch the list. The client's clock starts at 1e18 ns.
 func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
 	s := &scriptedDiscovery{calls: make(chan receivedCall, 64), changes: make(chan proxy.WatchEvent, 64)}
--- a/internal/dataplane/lineproto/upstream_test.go
+++ b/internal/dataplane/lineproto/upstream_test.go
@@ -21,8 +21,8 @@
 func (noEvents) UpstreamReady()                    {}
 func (noEvents) UpstreamEnded(err *netio.Error)    {}
 
-// An attempt ends while its request line is unsent because the kernel is short of buffers. The attempt counts as one
-// that has not run, so the line must not go out afterwards.
+// An attempt ends while its request line is unsent because the kernel is short of buffers. The attempt counts
+// as not run, so the line must not be sent afterwards.
 func TestLineOfAnEndedAttemptIsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
