--- a/internal/app/command/attempts_test.go
+++ b/internal/app/command/attempts_test.go
@@ -15,7 +15,7 @@
 )
 
 // keyFile writes a new Ed25519 private key to a PEM file. It returns the file's path and the public
-// key in base64, as a grant of the rules names it.
+// key in base64, as the rules name it in a grant, which permits its holder to change some of them.
 func keyFile(t *testing.T) (path, public string) {
 	t.Helper()
 	pub, key, err := ed25519.GenerateKey(nil)
--- a/internal/app/command/clients_test.go
+++ b/internal/app/command/clients_test.go
@@ -29,7 +29,7 @@
 	return hosts
 }
 
-// openClient opens a connection at a proxy's address with a deadline of wait. It fails the test if
+// openClient opens a connection of the class lab at a proxy's address with a deadline of wait. It fails the test if
 // the connection is not established. The connection is closed at the test's end.
 func openClient(t testing.TB, proxy string, wait time.Duration) *fake.Client {
 	t.Helper()
@@ -128,6 +128,6 @@
 	t.Helper()
 	l.stop()
 	if l.unanswered.Load() > 0 || l.served.Load() < minServed {
-		t.Errorf("%d requests served, %d unanswered; want %d or more, and 0", l.served.Load(), l.unanswered.Load(), minServed)
+		t.Errorf("%d requests served, want %d or more; %d unanswered, want 0", l.served.Load(), minServed, l.unanswered.Load())
 	}
 }
--- a/internal/app/command/hotrestart_test.go
+++ b/internal/app/command/hotrestart_test.go
@@ -97,7 +97,7 @@
 	// The next process takes over the established connections and the suspension.
 	serving, admin := h.startReady()
 	if err := first.Stop(); err != nil || len(first.LogLines("event=stopped")) == 0 {
-		t.Errorf("the old process ended with error %v and %d lines of event=stopped, want none and 1 or more", err, len(first.LogLines("event=stopped")))
+		t.Errorf("the old process ended with error %v, want none; it logged %d lines of event=stopped, want 1 or more", err, len(first.LogLines("event=stopped")))
 	}
 	h.checkConnection(established, "two")
 	if body := h.call(admin, "GET", "/v1/metrics", 200); !strings.Contains(body, "targets=2\ntargets_disabled=1\n") ||
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -28,7 +28,7 @@
 	mu          sync.Mutex      // guards the fields below
 	established []establishment // the oldest first
 	open        int             // connections open now, at all processes
-	rejected    int             // requests rejected, or without an answer from a paused process
+	rejected    int             // requests rejected, plus those without an answer whose process was paused
 	unanswered  int             // requests without an answer from a process that was not paused
 }
 
@@ -43,8 +43,10 @@
 	return load
 }
 
-// request requests one connection with a deadline of 400 ms and counts the outcome. A missing answer
-// counts as rejected if the process is paused by then.
+// request requests one connection for the tenant at the address proxy and counts the outcome. The
+// request has the class lab, which every rig configures, the tenant in its field t, and a deadline of
+// 400 ms. The answer's kind is NONE if there was no answer, which counts as rejected if the process is
+// paused by then.
 func (l *tenantLoad) request(proxy, tenant string, paused *atomic.Bool) {
 	client, answer, _ := fake.Open(proxy, "lab", "t="+tenant, 400*time.Millisecond)
 	l.mu.Lock()
@@ -110,13 +112,15 @@
 	}
 }
 
-// jobsWithLimits is the number of jobs, each of which one process of the fleet owns, in a fleet with
-// rules: one publishes the rules, and one for each shard of the limits issues grants.
-const jobsWithLimits = 1 + quota.Shards
+// jobsOfFleetWithLimits is the number of jobs in a fleet that has rules with limits. One process at a
+// time owns each job. One job publishes the rules. Each other job serves one shard, a fixed part of
+// the accounts, and issues grants, which permit a process to use a part of an account's limits.
+const jobsOfFleetWithLimits = 1 + quota.Shards
 
-// issuerPreferablyNot returns the index of an issuer, a process that issues grants for a shard of the
-// limits. It returns one other than process if there is any.
-func issuerPreferablyNot(rig *experiment.Rig, process int) int {
+// issuerOtherThan returns the index of an issuer, which is a process that issues grants (parts of
+// the limits) to all processes. It returns one other than process if there is any, and 0 if the
+// processes cannot be queried for their jobs.
+func issuerOtherThan(rig *experiment.Rig, process int) int {
 	owners, _ := rig.JobOwners()
 	issuer := owners["limits0"]
 	for shard := range quota.Shards {
@@ -127,22 +131,23 @@
 	return issuer
 }
 
-// putLimits puts rules with limits for the account acme, based on version against, until the answer
-// contains want. rate is in connections per second; connections is the number open at once.
+// putLimits sends rules with limits for the account acme, whose only tenant is t1, and repeats that
+// until the answer contains want. against is the version that the rules replace, 0 if there is none.
+// rate is in connections per second; connections is the number open at once.
 func putLimits(t *testing.T, rig *experiment.Rig, against, rate, connections int, want string) {
 	t.Helper()
 	rules := fmt.Sprintf(`(rules (account acme (tenants t1) (rate %d) (standing %d)) (account other (tenants t2)))`, rate, connections)
 	putRulesUntil(t, rig, 1, against, rules, want)
 }
 
-// TestLimitsAmongProcesses checks the limits of a customer whose load is several times its limit,
-// nearly all of it at one of five processes. The customer uses its limit, and never more than that
+// TestLimitsAmongProcesses checks the limits of an account whose load is several times its limit,
+// nearly all of it at one of five processes. The account uses its limit, and never more than that
 // plus the grants of one lifetime, even while a process is cut off, after an issuer was paused or
 // killed, and after the limits were halved.
 func TestLimitsAmongProcesses(t *testing.T) {
 	t.Parallel()
 	rig, _ := startCustomersRig(t)
-	waitActive(t, rig, 0, 0, 5)
+	waitActive(t, rig, 0, 0, 5) // no rules yet, which is version 0, at all 5 processes
 	const rate, connections = 20, 24
 	putLimits(t, rig, 0, rate, connections, "active: version 2 at 5 of 5")
 	load := startTenantLoad(t, rig, "t1", time.Second, func(process int) time.Duration {
@@ -151,7 +156,7 @@
 		}
 		return 150 * time.Millisecond
 	})
-	// The grants of one lifetime may be used on top of the limit, which adds at most rate. The
+	// The grants of one lifetime, 1 s, may be used on top of the limit, which adds at most rate. The
 	// tokens saved in a token bucket add at most rate/4.
 	const maxPerSecond = 2*rate + rate/4
 	time.Sleep(3 * time.Second)
@@ -160,23 +165,26 @@
 	load.checkPhase(t, "one process cut off", 3*time.Second, limitBounds{1, maxPerSecond, connections})
 	rig.SetCutOff(2, false)
 
-	issuer := issuerPreferablyNot(rig, 0)
-	withGrantsOfTwoIssuers := limitBounds{1, maxPerSecond, connections + connections/2}
+	issuer := issuerOtherThan(rig, 0)
+	// Grants of the earlier and the next issuer may be valid together, so half of the limit is allowed
+	// on top.
+	boundsAfterIssuerChange := limitBounds{1, maxPerSecond, connections + connections/2}
 	load.paused[issuer].Store(true)
 	rig.Procs[issuer].Signal(syscall.SIGSTOP)
 	time.Sleep(1500 * time.Millisecond)
 	rig.Procs[issuer].Signal(syscall.SIGCONT)
 	load.paused[issuer].Store(false)
-	load.checkPhase(t, "an issuer was paused", 3*time.Second, withGrantsOfTwoIssuers)
-	checkKilledIssuer(t, rig, load, issuer, withGrantsOfTwoIssuers)
+	load.checkPhase(t, "an issuer was paused", 3*time.Second, boundsAfterIssuerChange)
+	checkKilledIssuer(t, rig, load, issuer, boundsAfterIssuerChange)
 
 	putLimits(t, rig, 2, rate/2, connections/2, "active: version 3 at")
 	time.Sleep(3 * time.Second)
+	// rate + rate/8 + 1 is maxPerSecond for half the rate, rounded up.
 	load.checkPhase(t, "limits halved", 2*time.Second, limitBounds{1, rate + rate/8 + 1, connections / 2})
 	load.mu.Lock()
 	defer load.mu.Unlock()
 	if load.unanswered > 0 || load.rejected < 10 {
-		t.Errorf("%d requests unanswered, %d rejected; want 0, and 10 or more", load.unanswered, load.rejected)
+		t.Errorf("%d requests unanswered, want 0; %d rejected, want 10 or more", load.unanswered, load.rejected)
 	}
 }
 
@@ -191,13 +199,14 @@
 		t.Fatal(err)
 	}
 	load.paused[issuer].Store(false)
-	// There may be no connections until the issuer's jobs have another owner, which waits until the
-	// earlier grants have lapsed.
-	if _, err := rig.AwaitJobsOwned(jobsWithLimits); err != nil {
+	// Possibly no connection is established until the issuer's jobs have another owner. That owner
+	// waits until the earlier grants have lapsed.
+	if _, err := rig.AwaitJobsOwned(jobsOfFleetWithLimits); err != nil {
 		t.Fatal(err)
 	}
 	load.checkPhase(t, "an issuer was killed", 4*time.Second, bounds)
+	// The phase above has checked the lower bound.
 	if u := load.usageSince(killedAt); u.maxPerSecond > bounds.maxPerSecond || u.maxOpen > bounds.maxOpen {
-		t.Errorf("since an issuer was killed: usage %+v, want at most %+v", u, bounds)
+		t.Errorf("since an issuer was killed: maxPerSecond %d, want at most %d; maxOpen %d, want at most %d", u.maxPerSecond, bounds.maxPerSecond, u.maxOpen, bounds.maxOpen)
 	}
 }
--- a/internal/app/command/lossylinks_test.go
+++ b/internal/app/command/lossylinks_test.go
@@ -12,8 +12,9 @@
 
 // TestRulesOverLossyLinks checks rules while a fifth of all datagrams is lost, a fifth is
 // duplicated, and all are delayed and reordered. Changes by the operators and by a customer become
-// active in order, two versions are applied at once for at most agree_within, and a change that was
-// signed before its grant was revoked is rejected.
+// active in order, two versions are applied at once for at most agree_within (1 s here), and a change
+// that was signed before its grant was revoked is rejected. A grant permits the holder of a key to
+// change some of an account's rules.
 func TestRulesOverLossyLinks(t *testing.T) {
 	t.Parallel()
 	rig, _ := startCustomersRig(t)
--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -39,7 +39,7 @@
 // recoveryTimeout is the time that a fleet may take to recover from a fault.
 const recoveryTimeout = 40 * time.Second
 
-// ownersRigJobs is the number of jobs of startOwnersRig: three drills (for tests) and the suspensions.
+// ownersRigJobs is the number of jobs of startOwnersRig: three drills (test jobs) and the suspensions.
 const ownersRigJobs = 4
 
 // waitOwners waits until every job has one owner, and returns the index of the owner's process by
--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// chaosJobs is the number of jobs on the rig: 20 drills and the job for suspended hosts.
+// chaosJobs is the number of jobs on the rig: 20 drills, which are jobs for tests
+// alone, and the job for suspended hosts.
 const chaosJobs = 21
 
 // ownerChaos compares placements without faults with those during one fault every 2 s, for two minutes
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -42,7 +42,7 @@
 const (
 	ownerCostTable     = "cost of owners"
 	ownerCostProcesses = 6               // processes of a rig, replicas included
-	ownerCostDrills    = 6               // jobs in addition to the one for suspended hosts
+	ownerCostDrills    = 6               // drills (jobs for tests alone), besides the job for suspended hosts
 	idleDuration       = 8 * time.Second // period over which idle costs are measured
 )
 
@@ -61,7 +61,8 @@
 	return measureCPUShares(idle, idleDuration)[4], nil
 }
 
-// ownerGroup specifies a group of replicas: their number, and whether their stores are on disk.
+// ownerGroup specifies a group of replicas: their number, and whether their stores are on disk
+// (otherwise in memory).
 type ownerGroup struct {
 	voters int
 	disks  bool
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -8,35 +8,36 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownerHandover shuts processes down or replaces them, and measures for how long their jobs have no
+// ownerHandover shuts processes down or replaces them by a hot restart, and measures for how long their jobs have no
 // owner.
 func ownerHandover(e *Env, r *Report) error {
 	const table = "time without an owner at handovers"
 	r.StartTable(table, "how", "replicas", "store", "handovers", "median ms", "p99 ms", "max ms")
-	for _, how := range []string{"SIGTERM", "replaced"} {
+	for _, method := range []string{"SIGTERM", "replaced"} {
 		for _, disks := range []bool{true, false} {
-			took, err := handovers(e, how, disks)
+			gaps, err := handovers(e, method, disks)
 			if err != nil {
-				return fmt.Errorf("%s: %w", how, err)
+				return fmt.Errorf("%s, store %s: %w", method, storeName(disks), err)
 			}
 			store := storeName(disks)
-			r.AddRow(table, how, 3, store, len(took), took.quantile(0.5), took.quantile(0.99), took.quantile(1))
-			r.Check(took.quantile(0.99) <= 200, how+", "+store+": at most 200 ms without an owner at p99", fmt.Sprintf("%.0f ms", took.quantile(0.99)))
+			r.AddRow(table, method, 3, store, len(gaps), gaps.quantile(0.5), gaps.quantile(0.99), gaps.quantile(1))
+			r.Check(gaps.quantile(0.99) <= 200, method+", "+store+": at most 200 ms without an owner at p99", fmt.Sprintf("%.0f ms", gaps.quantile(0.99)))
 		}
 	}
 	return nil
 }
 
-// handovers shuts down (how is SIGTERM) or replaces one process after the other. It returns, sorted,
-// the milliseconds for which each of their jobs had no owner.
-func handovers(e *Env, how string, disks bool) (samples, error) {
+// handovers shuts down one process after the other if method is SIGTERM; otherwise it replaces them.
+// The replicas have their stores on disk if disks is true, else in memory. The jobs are drills, which
+// exist for tests alone. It returns, sorted, the milliseconds for which each released job had no owner.
+func handovers(e *Env, method string, disks bool) (samples, error) {
 	const jobs, rounds = 20, 8
 	r, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, SettingsSections: ownersSection(3, disks, fmt.Sprintf("(drill %d)", jobs))})
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	var took samples
+	var gaps samples
 	for round := range rounds {
 		if _, err := r.AwaitJobsOwned(jobs); err != nil {
 			return nil, err
@@ -47,19 +48,19 @@
 		}
 		time.Sleep(4 * time.Second)
 		startedAt, old := time.Now(), r.Procs[round%5]
-		if err := r.handOver(round%5, how); err != nil {
+		if err := r.handOver(round%5, method); err != nil {
 			return nil, err
 		}
 		if _, err := r.AwaitJobsOwned(jobs); err != nil {
 			return nil, err
 		}
-		took = append(took, r.releaseGaps(old, startedAt)...)
+		gaps = append(gaps, r.releaseGaps(old, startedAt)...)
 	}
-	slices.Sort(took)
-	if len(took) < 10 {
-		return nil, fmt.Errorf("%d handovers, want at least 10", len(took))
+	slices.Sort(gaps)
+	if len(gaps) < 10 {
+		return nil, fmt.Errorf("%d jobs were released and acquired again, want at least 10", len(gaps))
 	}
-	return took, nil
+	return gaps, nil
 }
 
 // replicasReady reports whether the replicas, which are the first processes, answer. With disks, they
@@ -74,10 +75,10 @@
 	return true
 }
 
-// handOver shuts process i down and starts it again if how is SIGTERM; otherwise it performs a hot
+// handOver shuts process i down and starts it again if method is SIGTERM; otherwise it performs a hot
 // restart.
-func (r *Rig) handOver(i int, how string) error {
-	if how != "SIGTERM" {
+func (r *Rig) handOver(i int, method string) error {
+	if method != "SIGTERM" {
 		return r.Replace(i)
 	}
 	if err := r.Procs[i].Stop(); err != nil {
@@ -86,8 +87,8 @@
 	return r.Start(i)
 }
 
-// releaseGaps returns the milliseconds from each release of a job by a process since a time until any
-// process acquires the job. It leaves out jobs that no process acquired.
+// releaseGaps returns the milliseconds between release and next acquisition of each job that the process by
+// released at the time since or later. It leaves out jobs that no process acquired.
 func (r *Rig) releaseGaps(by *Process, since time.Time) (gaps samples) {
 	for _, line := range by.LogLines("event=job_released ") {
 		released := logTime(line)
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -136,7 +136,8 @@
 	return outcome, nil
 }
 
-// newLateRig starts five processes with the given number of jobs, with or without the fence.
+// newLateRig starts five processes with the given number of drills (jobs for tests alone). If fence is
+// false, they run without the fence, which rejects the effects of earlier owners.
 func newLateRig(e *Env, fence bool, jobs int, seed uint64) (*Rig, error) {
 	// No key is set, since sealed datagrams that are 30 s late would be rejected before they reach the
 	// fence, which this experiment tests.
--- a/internal/testbed/experiment/rigowners.go
+++ b/internal/testbed/experiment/rigowners.go
@@ -144,7 +144,8 @@
 }
 
 // staleEffects counts, in the logs of all incarnations, the effects that were accepted after an
-// effect with a newer fencing token, and the rejections of stale effects.
+// effect with a newer fencing token, and the rejections of such stale effects. An effect is one action
+// that a job's owner performs. Only drills, which are jobs for tests alone, log the accepted ones.
 func (r *Rig) staleEffects() (accepted, rejected int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
