--- a/internal/app/command/largerules_test.go
+++ b/internal/app/command/largerules_test.go
@@ -44,7 +44,7 @@
 	waitActive(t, rig, 4, 3, 5)
 	out, status := command(t, "rules", "show", "0", "--socket", filepath.Join(rig.Dir(4), "owners.sock"))
 	if status != 0 || !strings.Contains(out, "host0400-of-somewhere") || !strings.Contains(out, "(route \"r0999\"") {
-		t.Errorf("the active version at n4: exit status %d, %d bytes; want 0 and the last host and route", status, len(out))
+		t.Errorf("the active version at n4: exit status %d, want 0; %d bytes of output, want the last host and route in them", status, len(out))
 	}
 	if answer := putUntilAnswered(t, rig, 1, 3, rulesText(3000)); !strings.HasPrefix(answer, "1 ") || !strings.Contains(answer, "entries") {
 		t.Errorf("rules with too many entries are answered with %.200q, want an error that names the entries", answer)
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -108,7 +108,8 @@
 	u := l.usageSince(from)
 	t.Logf("%s: %d connections established in %v, at most %d within a second and %d open", phase, u.established, duration, u.maxPerSecond, u.maxOpen)
 	if u.established < bounds.minEstablished || u.maxPerSecond > bounds.maxPerSecond || u.maxOpen > bounds.maxOpen {
-		t.Errorf("%s: usage %+v in %v, want it within %+v", phase, u, duration, bounds)
+		t.Errorf("%s, in %v: established %d, want at least %d; maxPerSecond %d, want at most %d; maxOpen %d, want at most %d",
+			phase, duration, u.established, bounds.minEstablished, u.maxPerSecond, bounds.maxPerSecond, u.maxOpen, bounds.maxOpen)
 	}
 }
 
@@ -119,7 +120,7 @@
 
 // issuerOtherThan returns the index of an issuer, which is a process that issues grants (parts of
 // the limits) to all processes. It returns one other than process if there is any, and 0 if the
-// processes cannot be queried for their jobs.
+// owners are not known, since a query failed or two processes report the same job.
 func issuerOtherThan(rig *experiment.Rig, process int) int {
 	owners, _ := rig.JobOwners()
 	issuer := owners["limits0"]
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -53,7 +53,7 @@
 	rig       *experiment.Rig
 	hosts     map[string]*fake.Server
 	key       string // path of the private key of acme's administrator
-	publicKey string // of the same key, as a grant contains it
+	publicKey string // of the same key, as the rules contain it in a grant (of the right to change acme's namespace)
 	clients   *clientLoop
 }
 
--- a/internal/app/command/pushedlists_test.go
+++ b/internal/app/command/pushedlists_test.go
@@ -44,6 +44,6 @@
 		openClient(t, p.Addr, 4*time.Second)
 	}
 	if after, _ := drained.Requests(); before == 0 || after > before {
-		t.Errorf("%d requests at a host before it drained, %d after the proxy was notified; want 1 or more, and 0", before, after-before)
+		t.Errorf("%d requests at a host before it drained, want 1 or more; %d after the proxy was notified, want 0", before, after-before)
 	}
 }
--- a/internal/app/command/rules_test.go
+++ b/internal/app/command/rules_test.go
@@ -57,8 +57,8 @@
 	load := startRulesLoad(t, rig)
 	checkRejectedChanges(t, rig)
 
-	// n4 is cut off during a change. Once its lease has lapsed it acts by no version, and it
-	// catches up afterwards.
+	// n4 is cut off during a change. Once its lease, the right to act by a version, has
+	// lapsed, n4 acts by no version. It catches up afterwards.
 	rig.SetCutOff(4, true)
 	putRulesUntil(t, rig, 0, 1, `(rules (out s1))`, "active: version 2 at 4 of 5; lapsed: n4")
 	if answer := requestAnswer(rig.Procs[4].Addr, "feed000000000002"); !strings.HasPrefix(answer, "BUSY") {
--- a/internal/testbed/experiment/addr.go
+++ b/internal/testbed/experiment/addr.go
@@ -15,8 +15,8 @@
 const (
 	processNetworks = 250   // number of loopback networks, which differ in the second byte
 	processPorts    = 20000 // number of ports, which distinguish processes on one network
-	firstPort       = 10000
-	maxAddrAttempts = 1000
+	firstPort       = 10000 // lowest port
+	maxAddrAttempts = 1000  // addresses that FreeAddr tries before it returns an error
 )
 
 // ProcessPort returns the port of this process, which other processes on its loopback network do not
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -114,7 +114,7 @@
 
 // moveTimes moves jobs between processes and returns the milliseconds of each move, sorted. Moves
 // that fail or are rejected are left out. It updates owners.
-func moveTimes(rig *Rig, owners map[string]int) (took samples, err error) {
+func moveTimes(rig *Rig, owners map[string]int) (milliseconds samples, err error) {
 	for round := range 40 {
 		job := fmt.Sprintf("drill%03d", round%ownerCostDrills)
 		to := (owners[job] + 1) % ownerCostProcesses
@@ -127,16 +127,16 @@
 		if _, ok := AwaitCondition(10*time.Second, func() bool { return len(rig.acquisitionTimes(to, job, startedAt)) > 0 }); !ok {
 			return nil, fmt.Errorf("n%[2]d did not acquire %[1]s within 10 s", job, to)
 		}
-		took = append(took, float64(rig.acquisitionTimes(to, job, startedAt)[0].Sub(startedAt))/1e6)
+		milliseconds = append(milliseconds, float64(rig.acquisitionTimes(to, job, startedAt)[0].Sub(startedAt))/1e6)
 		owners[job] = to
 	}
-	slices.Sort(took)
-	return took, nil
+	slices.Sort(milliseconds)
+	return milliseconds, nil
 }
 
 // killTimes kills owners and returns, sorted, the milliseconds until another process acquires one job of
 // each.
-func killTimes(rig *Rig) (took samples, err error) {
+func killTimes(rig *Rig) (milliseconds samples, err error) {
 	for round := range 5 {
 		owners, err := rig.AwaitJobsOwned(ownerCostDrills + 1)
 		if err != nil {
@@ -148,13 +148,13 @@
 		if _, ok := AwaitCondition(20*time.Second, func() bool { return rig.acquiredByOther(owner, job, startedAt) }); !ok {
 			return nil, fmt.Errorf("%s has no owner 20 s after n%d was killed", job, owner)
 		}
-		took = append(took, float64(time.Since(startedAt))/1e6)
+		milliseconds = append(milliseconds, float64(time.Since(startedAt))/1e6)
 		if err := rig.Start(owner); err != nil {
 			return nil, err
 		}
 	}
-	slices.Sort(took)
-	return took, nil
+	slices.Sort(milliseconds)
+	return milliseconds, nil
 }
 
 // acquiredByOther reports whether a process other than owner has acquired a job since a time.
@@ -173,7 +173,8 @@
 	leaderBytes, followerBytes       int
 }
 
-// idleCost measures a group with one idle job, so that only consensus and leases cause costs.
+// idleCost measures a group with one idle job, so that only the replicas' agreement on the owner and
+// the owner's lease cause costs.
 func (g ownerGroup) idleCost(e *Env) (idle idleGroup, err error) {
 	rig, err := g.newRig(e, "(hosts on)")
 	if err != nil {
@@ -224,7 +225,7 @@
 
 // measureSyncs returns, sorted, the milliseconds of each of 200 synced writes of 4 KiB, as a reference for
 // the speed of the disk.
-func measureSyncs(dir string) (took samples, err error) {
+func measureSyncs(dir string) (milliseconds samples, err error) {
 	f, err := os.Create(filepath.Join(dir, "raw"))
 	if err != nil {
 		return nil, err
@@ -238,8 +239,8 @@
 		if err := f.Sync(); err != nil {
 			return nil, err
 		}
-		took = append(took, float64(time.Since(at))/1e6)
+		milliseconds = append(milliseconds, float64(time.Since(at))/1e6)
 	}
-	slices.Sort(took)
-	return took, nil
+	slices.Sort(milliseconds)
+	return milliseconds, nil
 }
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -8,8 +8,8 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownerHandover shuts processes down or replaces them by a hot restart, and measures for how long their jobs have no
-// owner.
+// ownerHandover shuts processes down or replaces them by a hot restart, and measures for how long
+// their jobs have no owner.
 func ownerHandover(e *Env, r *Report) error {
 	const table = "time without an owner at handovers"
 	r.StartTable(table, "how", "replicas", "store", "handovers", "median ms", "p99 ms", "max ms")
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -16,7 +16,8 @@
 // fault that it names.
 const FaultInjectionEnv = "CROFTLAB_PLANTED"
 
-// lateCase is a fault that makes owners act after their lease has ended.
+// lateCase is a fault that makes owners of jobs act after their lease, the right to act for a job, has
+// ended.
 type lateCase struct {
 	name   string
 	inject func(l *lateOwner) error // makes the owner late and returns once it no longer is
@@ -35,7 +36,7 @@
 // lateOutcome is the outcome of a case.
 type lateOutcome struct {
 	jobs     int             // number of jobs whose owner was late
-	stale    int             // effects of an older token that were accepted after a newer one's
+	stale    int             // effects of an older fencing token that were accepted after a newer token's
 	rejected int             // effects that the fence rejected
 	gaps     []time.Duration // for each job, the time without an owner
 }
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -15,7 +15,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Rig is a set of croftlock processes that communicate through a mesh with fault injection.
+// Rig is a set of croftlock processes that communicate through a mesh, which forwards their datagrams
+// and can lose, delay or duplicate them.
 type Rig struct {
 	Mesh   *fake.Mesh
 	Procs  []*Process // current process of each index
@@ -25,7 +26,7 @@
 	admin  []string // admin address of each process
 
 	mu           sync.Mutex // protects incarnations
-	incarnations []*Process // all processes that were ever started
+	incarnations []*Process // all processes that were ever started, of all indices
 }
 
 // RigOptions configure the processes of a rig.
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -36,7 +36,8 @@
 
 // rulesAgree runs five processes that agree on a change of rules every 200 ms under 500 placements
 // per second. It runs them without faults, with a fault about every 2 s, and with an injected
-// fault, a lease that lasts ten times too long, that the checker must detect.
+// fault that the checker must detect: the lease, a process's right to apply a version, lasts ten times
+// too long.
 func rulesAgree(e *Env, r *Report) error {
 	const table = "rules among five processes, three replicas without disks, agree_within 1 s"
 	r.StartTable(table, "case", "changes active", "active within, p50 p99", "decisions", "two versions at once, p99, longest", "no answer", "placed, p50 p99")
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -17,7 +17,7 @@
 	activationTimes []time.Duration // from the proposal until its reply was read after the recovery
 	recoveryTimes   []time.Duration // from the end of the fault until all processes applied one version
 	unknown         int             // changes with an unknown outcome
-	rejected        int             // changes rejected by the publisher
+	rejected        int             // changes rejected by the publisher, the process that publishes the rules
 }
 
 // cutFault is a fault during which a change is proposed.
--- a/internal/testbed/experiment/rulesoutcome.go
+++ b/internal/testbed/experiment/rulesoutcome.go
@@ -18,7 +18,7 @@
 	changeTimes    []time.Duration // time from the proposal of a change until it was active
 
 	decisions       int
-	lapsedDecisions int             // decisions without a valid lease
+	lapsedDecisions int             // decisions without a valid lease, the right to apply a version for a time
 	overlapTimes    []time.Duration // of decisions by an older version, since the first by a newer one
 }
 
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -58,8 +58,8 @@
 	go func() { defer g.workers.Done(); f() }()
 }
 
-// query sends a query to the publisher of the rules through process i. It returns the reply as
-// text, or "unknown: " and the error if there is no reply.
+// query sends a query through process i to the publisher, the process that publishes the rules. It
+// returns the reply as text, or "unknown: " and the error if there is no reply.
 func (g *rulesRig) query(i int, body []byte) string {
 	reply, err := g.SendOwnerRequest(i, owneragent.Request{Command: "rules", Rules: body})
 	if err != nil {
