--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -29,8 +29,8 @@
 	// Incarnation is made from the start time of this process. A successor under the same name joins
 	// with a newer one.
 	Incarnation Incarnation
-	Slots       int // number of addresses at which members may be
-	OwnSlot     int // slot (number of the address) of this process; -1 if it has none
+	Slots       int // number of slots, the addresses at which members may be
+	OwnSlot     int // index of this process's slot, from 0; -1 if it has none
 	// Seeds are the addresses of some members. If set, Slots and OwnSlot are ignored and the addresses of
 	// the other members are learnt, so that members may come and go.
 	Seeds []netip.AddrPort
@@ -42,7 +42,8 @@
 	ProbeInterval Time // time between two probes; zero means 200 ms
 	// ProbeTimeout is how long to wait for an answer before requesting indirect probes. Zero means 150 ms.
 	ProbeTimeout Time
-	// UnreachableAfter is the time after which a suspect that no process has heard becomes unreachable.
+	// UnreachableAfter is the time after which a suspect (a member that answered neither direct
+	// nor indirect probes) becomes unreachable if no process has heard from it.
 	// The local health multiplier lengthens it, and a suspicion lasts at least minSuspicion. Zero means
 	// 2.3 s.
 	UnreachableAfter Time
@@ -63,7 +64,7 @@
 		cfg.Slots, cfg.OwnSlot = len(cfg.Seeds), -1
 	}
 	if cfg.Slots < 1 || cfg.OwnSlot >= cfg.Slots || cfg.Overhead < 0 || cfg.Overhead > maxOverhead {
-		return cfg, fmt.Errorf("membership: %d slots (at least 1), own slot %d (below the number of slots), overhead of %d bytes (0 to %d)",
+		return cfg, fmt.Errorf("membership: invalid configuration: %d slots (want at least 1), own slot %d (want less than the number of slots), overhead of %d bytes (want 0 to %d)",
 			cfg.Slots, cfg.OwnSlot, cfg.Overhead, maxOverhead)
 	}
 	if cfg.FleetSize < 1 {
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -5,12 +5,13 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Trace is called with each event of a run. name is the name of the process, or empty for a fault of
-// the plan. Trace does nothing by default; set it to debug a run.
+// Trace is called with each event of a run. name is the name of the process, or empty for a fault
+// that the simulation injects. args are key-value pairs, except for the events start, stop and fault, which
+// have values only. Trace does nothing by default; set it to debug a run.
 var Trace = func(now Time, name, event string, args []any) {}
 
-// groupEffects implements, for a simulated process, the effects of its replicated group: the messages
-// that the group sends, and its reports to the Core.
+// groupEffects is what the replicated group of a simulated process calls to send messages, to report
+// results to the Core and to log events.
 type groupEffects struct {
 	run     *Run
 	process *process
@@ -19,14 +20,14 @@
 // Send passes a message to the network.
 func (g groupEffects) Send(peer uint32, msg []byte) { g.run.send(g.process, peer, true, msg) }
 
-// Applied passes the report on to the Core, if it exists yet.
+// Applied reports an applied command or group change to the Core, if it exists yet.
 func (g groupEffects) Applied(_ byte, tag uint64, result []byte) {
 	if g.process.core != nil {
 		g.process.core.Applied(g.run.localTime(g.process), tag, result)
 	}
 }
 
-// Confirmed passes the report on to the Core, if it exists yet.
+// Confirmed reports to the Core that the group has confirmed its leadership, if it exists yet.
 func (g groupEffects) Confirmed(tag uint64) {
 	if g.process.core != nil {
 		g.process.core.Confirmed(g.run.localTime(g.process), tag)
@@ -39,7 +40,8 @@
 		g.run.Elections++
 	}
 	if event == ownership.EventQuorumLeaderElected && eventField(args, ownership.FieldStateComplete) == false {
-		// The quorum reports that checkpoints may be lost, so later starts are not checked against them.
+		// The quorum reports that checkpoints may be lost, so later starts are not checked against the
+		// checkpoints stored until now.
 		clear(g.run.checks.stored)
 		g.run.UncertainElections++
 	}
@@ -80,18 +82,18 @@
 	j := c.process.jobs[name]
 	delete(c.process.jobs, name)
 	if j == nil || j.token != token {
-		c.run.reportViolation("%s stops %s under token %d, which it had not started", c.process.name, name, token)
+		c.run.reportViolation("%s stops job %s under token %d, but did not start the job under that token", c.process.name, name, token)
 		return 0, nil
 	}
 	j.sequence++
 	return j.sequence, checkpointOf(j.sequence)
 }
 
-// ApplyEffect checks that the effects of a job, the messages from its owner, are in order once the fence
-// has accepted them, and counts them.
+// ApplyEffect counts an accepted effect (a message from a job's owner). It reports a violation if the
+// effect's token is older than that of the job's previous effect at this process.
 func (c coreEffects) ApplyEffect(name string, token ownership.FencingToken, _ []byte) {
 	if token.Before(c.process.accepted[name]) {
-		c.run.reportViolation("%s accepts effect %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
+		c.run.reportViolation("%s accepts an effect with token %v of job %s after one with token %v", c.process.name, token, name, c.process.accepted[name])
 	}
 	c.process.accepted[name] = token
 	c.run.AcceptedEffects++
@@ -104,7 +106,7 @@
 	}
 }
 
-// CheckpointStored records a stored checkpoint, which no later owner may miss.
+// CheckpointStored records a stored checkpoint. A later owner must start from it or a newer one.
 func (c coreEffects) CheckpointStored(name string, token, checkpointNumber uint64, stored bool) {
 	if j := c.process.jobs[name]; j != nil && j.token == token && stored {
 		c.run.checks.stored[name] = max(c.run.checks.stored[name], checkpointNumber)
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -6,16 +6,19 @@
 )
 
 const (
-	silentAfterGrantLifetimes    = 2                         // a proxy that has sent no query for this many grant lifetimes is silent: it may use its own share
+	// A proxy without a query for this many grant lifetimes is silent, and its share is reserved. A new
+	// issuer waits as long before it grants anything, and a proxy as long after its last grant lapsed
+	// before it uses its share.
+	silentAfterGrantLifetimes    = 2
 	forgottenAfterGrantLifetimes = 4                         // a proxy that has left the fleet is forgotten this many grant lifetimes after its last query
-	maxIdleAccounts              = 4 * maxAccountsPerMessage // once there are this many account records, those of accounts without limits are dropped
+	cleanupAccountCount          = 4 * maxAccountsPerMessage // once there are this many account records, those of accounts without limits are dropped
 )
 
-// Issuer grants the limits of one shard's accounts to the proxies. It runs at the owner of the
-// shard's job. Grants are kept in memory only: a successor waits until all of them have lapsed.
+// Issuer grants parts of the limits of one shard's accounts to the proxies. It runs at the owner of
+// the shard's job. Grants are kept in memory only: a successor waits until all of them have lapsed.
 type Issuer struct {
-	GrantLifetime Time // in nanoseconds; counted from the reply here and from the query at the proxy, so a grant lapses there first
-	FleetSize     int  // number of proxies; a share is the limit divided by it
+	GrantLifetime Time // in nanoseconds; the issuer counts it from the reply and the proxy from the query, so a grant lapses at the proxy first
+	FleetSize     int  // number of proxies; a proxy's share is the limit divided by it
 	Limits        Limits
 
 	owner            jobs.Owner      // nil if this process does not own the job
@@ -27,7 +30,7 @@
 
 var _ jobs.Job = (*Issuer)(nil)
 
-// issuedAccount holds what the issuer has granted of one account.
+// issuedAccount holds what the issuer has granted for one account. A permit allows one new connection.
 type issuedAccount struct {
 	permits     jobs.TokenBucket             // refilled at the account's rate
 	connections map[uint32][]connectionGrant // by peer ID of the proxy, oldest first
@@ -79,7 +82,7 @@
 	if a := s.accounts[name]; a != nil {
 		return a
 	}
-	if len(s.accounts) >= maxIdleAccounts {
+	if len(s.accounts) >= cleanupAccountCount {
 		s.forgetUnlimited()
 	}
 	a := &issuedAccount{permits: jobs.TokenBucket{FilledAt: max(now, s.firstGrantAt)}, connections: map[uint32][]connectionGrant{}}
@@ -115,8 +118,9 @@
 
 // QueryReceived grants what a proxy demands, as far as the limits allow, and replies to the query.
 // Malformed queries are ignored, and so are all queries while this process does not own the job.
-// Each account is decided separately. A parent's limit still holds, because a connection needs a
-// permit of every account above its own and counts as open there.
+// Each demand is decided separately. The limit of an account (such as a) also holds for the accounts
+// below it (such as a/b), because a connection of a/b needs a permit of both accounts and counts as
+// open in both.
 func (s *Issuer) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	demands, err := decodeDemands(body)
 	if s.owner == nil || err != nil {
@@ -130,8 +134,9 @@
 	s.owner.Reply(from, tag, encodeGrants(grants))
 }
 
-// grantDemand decides the grant for one demand and records it. Before firstGrantAt, or without a
-// limit, the grant has no permits, and its maxOpen is the number of connections that are open.
+// grantDemand decides the grant for one demand and records it. Before firstGrantAt, the grant has no
+// permits, and its maxOpen is the number of open connections. Afterwards too, it has no permits if
+// the account has no rate limit, and that maxOpen if the account has no connection limit.
 func (s *Issuer) grantDemand(now Time, from uint32, d demand) grant {
 	limit, a := s.Limits(d.account), s.issuedAccountFor(now, d.account)
 	g := grant{account: d.account, maxOpen: d.open}
@@ -149,8 +154,8 @@
 	return g
 }
 
-// grantedConnections returns how many connections a proxy may have open if up to capacity of them
-// are available to it. If the limit was reduced below the number of open connections, every proxy's
+// grantedConnections returns how many connections a proxy may have open. capacity is the number
+// available to it, including those already open; limit is the account's connection limit. If the limit was reduced below the number of open connections, every proxy's
 // grant shrinks in proportion to its open connections. No connection is closed, but one that ends
 // is not replaced.
 func grantedConnections(d demand, capacity, limit int) uint64 {
@@ -182,7 +187,8 @@
 	}
 }
 
-// EffectAcknowledged does nothing: grants are replies, and the job has no effects.
+// EffectAcknowledged does nothing: the job sends replies with grants, but no effects (messages with
+// the owner's token).
 func (s *Issuer) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
 // CheckpointStored does nothing: the job has no checkpoint.
