--- a/internal/fleet/membership/address.go
+++ b/internal/fleet/membership/address.go
@@ -11,7 +11,7 @@
 // addressBook records which member is at which slot. The configuration fixes the slots; with seeds,
 // slots are numbered as addresses are learnt, and the seeds have the first numbers.
 type addressBook struct {
-	memberAt  []uint32         // member ID by slot; zero if no member is known there
+	memberAt  []uint32         // member ID by slot; zero if no member is known at the slot
 	addresses []netip.AddrPort // address by slot; empty if the configuration fixes the slots
 	seeds     int              // number of seeds, which have the first slots
 }
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -116,13 +116,13 @@
 }
 
 // nameInUse reports whether a datagram from slot, under member m's name, comes from another process than m:
-// m is alive at another slot, and this process has heard it there within Config.UnreachableAfter.
+// m is alive at another slot, and this process has heard m at that slot within Config.UnreachableAfter.
 func (c *Core) nameInUse(m *member, slot int, incarnation Incarnation, now Time) bool {
 	elsewhere := m.Slot >= 0 && m.Slot != slot && incarnation.Start() != m.Incarnation.Start()
 	return elsewhere && now-m.HeardHere < c.cfg.UnreachableAfter && m.State == Alive
 }
 
-// handleOldIncarnation answers a datagram of an older incarnation with the incarnation known here. If
+// handleOldIncarnation answers a datagram of an older incarnation with the incarnation known to this process. If
 // the sender is the current process, whose clock was set back, the answer makes it raise its incarnation.
 func (c *Core) handleOldIncarnation(slot int, sender uint32) {
 	c.counts.OldIncarnation++
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -126,8 +126,8 @@
 	return true
 }
 
-// apply accepts only a token above the job's last one. Fencing: receivers that have accepted an effect
-// under the new token reject those of earlier owners.
+// apply accepts only a token above the job's last one. Fencing: receivers that have accepted an effect,
+// a message from the job's owner, under the new token reject those of earlier owners.
 func (c grantCommand) apply(t *Table) bool {
 	row := t.rows[c.job]
 	if row == nil || c.token <= row.Token {
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -57,8 +57,8 @@
 	c.changedAt = map[string]Time{}
 }
 
-// becomeCoordinator starts an epoch. The leases that an earlier coordinator granted are not known
-// here; see ownerMayBeAlive.
+// becomeCoordinator starts an epoch. This process does not know the leases that an earlier
+// coordinator granted; see ownerMayBeAlive.
 func (c *coordinator) becomeCoordinator(epoch uint64) {
 	c.epoch, c.epochStartedAt, c.tableEmptyAtStart = epoch, c.now, c.table.Version == 0
 	c.dropEpochState()
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -52,7 +52,7 @@
 	// number above that of the last one stored.
 	Stop(job string, token uint64, reason ReleaseReason) (checkpointNumber uint64, checkpoint []byte)
 	// ApplyEffect applies an effect, a message by which the owner of a job changes this process. The
-	// fence has accepted it.
+	// Fence, the record of accepted tokens, has accepted it.
 	ApplyEffect(job string, token FencingToken, body []byte)
 	// EffectAcknowledged reports a receiver's verdict to the owner of the job. peer is the receiver,
 	// and highest the token of the latest effect of the job that it has accepted.
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -16,7 +16,7 @@
 
 const (
 	candidateCount = 2 // number of voters, counted from the first, that may become candidates
-	receiverNumber = 3 // number of the receiver of effects, after those of the voters
+	receiverNumber = 3 // number of the receiver of effects (messages of the leader), after those of the voters
 )
 
 // packet is a message between voters, or an effect for the receiver.
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -58,7 +58,7 @@
 	eligible         bool // whether the sender may be assigned jobs
 	job              string
 	token            uint64
-	higherToken      uint64 // token above the sender's own, under which a receiver has accepted an effect; 0 if none is known
+	higherToken      uint64 // token above the sender's own, under which a receiver has accepted an effect (see effectMessage); 0 if none is known
 	checkpointNumber uint64
 	checkpoint       []byte
 	reason           string // text; see reasons.go
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -43,7 +43,7 @@
 
 // clockDriftDivisor divides a lease to yield the part by which its holder shortens it and the
 // coordinator lengthens it: a fiftieth, so that each clock may be fast or slow by 2 %. A voter of a
-// Quorum counts the full lease, so there the two clocks may differ by 2 % in total.
+// Quorum counts the full lease, so the clocks of voter and leader may differ by 2 % in total.
 const clockDriftDivisor = 50
 
 // leaseAtHolder returns how long the holder of a lease of length d relies on it.
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -14,7 +14,7 @@
 	token             uint64 // of the grant under which this process owns the job
 	released          bool   // stopped, and the release is reported until the coordinator's list omits the job
 	releaseText       string // reason of the release
-	higherToken       uint64 // token above this one, under which a receiver has accepted an effect; 0 if none is known
+	higherToken       uint64 // token above this one, under which a receiver has accepted an effect (a message from the job's owner); 0 if none is known
 	checkpointNumber  uint64 // of checkpoint; 0 if there is none
 	checkpoint        []byte // for the next owner; set by the release
 	releaseReportedAt Time   // when the release was last reported to the coordinator
@@ -170,7 +170,7 @@
 	}
 }
 
-// acquire starts a listed job, or releases it at once if it must not start here. It returns false if
+// acquire starts a listed job, or releases it at once if it must not start in this process. It returns false if
 // the job must wait for a lease.
 func (p *participant) acquire(j listedJob) bool {
 	if j.handover || p.leaving {
@@ -192,7 +192,7 @@
 	return true
 }
 
-// handleCheckpointResult passes the result on, unless this process no longer has the job under the
+// handleCheckpointResult passes the result on to the job, unless this process no longer has the job under the
 // same token.
 func (p *participant) handleCheckpointResult(m checkpointResult) {
 	if owned := p.jobs[m.job]; owned != nil && owned.token == m.token {
@@ -200,11 +200,11 @@
 	}
 }
 
-// handleEffectAck passes a receiver's verdict on. The verdict Stale also stops the job.
+// handleEffectAck passes a receiver's verdict on to the job. The verdict Stale also stops the job.
 func (p *participant) handleEffectAck(from uint32, m effectAck) {
 	if owned := p.jobs[m.job]; m.verdict == Stale && owned != nil && owned.token == m.token.Token && !owned.released {
 		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release
-		// reports that owner's token to the coordinator. If the receiver's Fence is full instead, the
+		// reports that owner's token to the coordinator. If the receiver's Fence, its record of accepted tokens, is full instead, the
 		// reported token is 0.
 		owned.higherToken = m.highest.Token
 		p.release(m.job, owned, LaterTokenSeen, textLaterTokenSeen)
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -20,8 +20,8 @@
 //   - Committed commands survive as long as no majority loses its memory at the same time.
 //
 // If all voters start at once, epochs still rise, unless a clock was set back by more than the time
-// that the fleet had been up. In that case receivers' fences reject the effects of a job until its
-// token is raised above the one that they remember.
+// that the fleet had been up. In that case receivers' fences reject the effects of a job (the
+// messages from its owner) until its token is raised above the one that they remember.
 type Quorum struct {
 	cfg       QuorumConfig
 	effects   group.Effects
@@ -64,7 +64,7 @@
 		cfg.Lease = defaultQuorumLease
 	}
 	if len(cfg.Voters) == 0 || len(cfg.Voters) > maxVoters || cfg.WallClockAtStart < 0 {
-		return nil, fmt.Errorf("%w: %d voters, expected 1 to %d; clock %d, expected 0 or more", ErrInvalidConfig, len(cfg.Voters), maxVoters, cfg.WallClockAtStart)
+		return nil, fmt.Errorf("%w: %d voters, expected 1 to %d; wall clock at start %d (hundredths of a second), expected 0 or more", ErrInvalidConfig, len(cfg.Voters), maxVoters, cfg.WallClockAtStart)
 	}
 	return &Quorum{
 		cfg:           cfg,
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -28,8 +28,8 @@
 	promises       map[uint32]prepareReply // replies to the prepareRequest, by the voter's peer
 	stateSource    uint32                  // peer of the voter whose state the epoch begins with; 0 until it is chosen
 	stateComplete  bool                    // whether the chosen state contains everything that was committed
-	nextElectionAt Time                    // no election begins here before this time
-	yieldedUntil   Time                    // no election begins here before this time, because this voter gave up the leadership
+	nextElectionAt Time                    // this voter begins no election before this time
+	yieldedUntil   Time                    // this voter begins no election before this time, because it gave up the leadership
 }
 
 // leaseRounds holds the rounds in which this voter has proposed its lease. A lease counts from the
@@ -161,7 +161,7 @@
 func (q *Quorum) handleLeaseRejected(m leaseRejected) {
 	q.observeBallot(m.promised)
 	switch {
-	case m.epoch == 0: // ignore it: 0 stands for no epoch and no ballot here
+	case m.epoch == 0: // ignore it: in q.leader.epoch and q.candidate.ballot, 0 stands for none
 	case m.epoch == q.leader.epoch && m.promised > q.leader.ballot:
 		// Another voter was a candidate while this one was cut off from the rejecting voter. A higher
 		// ballot makes the rejecting voter accept renewals again.
@@ -172,7 +172,7 @@
 }
 
 // handleLeaseAccepted counts the voters that have accepted the lease of a round. A majority elects this
-// voter or extends its lease. It ignores replies to other epochs and to rounds no longer recorded.
+// voter or extends its lease. handleLeaseAccepted ignores replies to other epochs and to rounds no longer recorded.
 func (q *Quorum) handleLeaseAccepted(from uint32, m leaseAccepted) {
 	isRenewal := m.epoch == q.leader.epoch
 	if m.epoch == 0 || m.epoch != q.candidate.ballot && !isRenewal || q.rounds.grants[m.round] == nil {
@@ -197,8 +197,8 @@
 	}
 }
 
-// leaseEnd returns when the lease of a round ends here. Lease: it counts from the request and is
-// shortened by the clock drift, so it ends here before it ends at any voter.
+// leaseEnd returns when the lease of a round ends at this voter, its holder. Lease: it counts from the
+// request and is shortened by the clock drift, so it ends at the holder before it ends at any grantor.
 func (q *Quorum) leaseEnd(round uint64) Time {
 	requestedAt := q.rounds.requestedAt[round]
 	if q.cfg.Faults.StartLeaseAtReply {
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -6,7 +6,7 @@
 type leaderState struct {
 	epoch    uint64 // the ballot with which this voter was elected; 0 if it does not lead
 	ballot   uint64 // for renewals; raised above ballots that voters have promised to others since the election
-	leaseEnd Time   // when the leadership ends here unless it is renewed
+	leaseEnd Time   // when this voter's leadership ends unless it is renewed
 	renewAt  Time   // when to request the next renewal
 }
 
@@ -33,7 +33,7 @@
 }
 
 // becomeFollower ends the leadership, if any, and the election. It drops the entries that are not
-// committed, which were not applied here.
+// committed; this voter has not applied them as the leader.
 func (q *Quorum) becomeFollower() {
 	q.log.position = q.appliedPosition()
 	q.leader.epoch, q.candidate.ballot, q.log.entries = 0, 0, nil
--- a/internal/fleet/ownership/reasons.go
+++ b/internal/fleet/ownership/reasons.go
@@ -17,8 +17,8 @@
 	// NoLongerListed means that the coordinator's list does not contain the job under this token: it
 	// has another owner or a raised token, or the table is uncertain.
 	NoLongerListed
-	// LaterTokenSeen means that a receiver has rejected an effect of the job as Stale: it has accepted
-	// one of a later owner, or its Fence is full.
+	// LaterTokenSeen means that a receiver has rejected an effect (a message from the job's owner) as
+	// Stale: the receiver has accepted one of a later owner, or its Fence is full.
 	LaterTokenSeen
 	// JobFailed means that the job ended because of its own failure.
 	JobFailed
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -45,7 +45,7 @@
 // replicatedLog holds this voter's position in the log. At a leader, it also holds the last entries
 // of its epoch and the position of each voter.
 type replicatedLog struct {
-	position  logPosition // of the last entry here; a follower has applied it, a leader only what is committed
+	position  logPosition // of the last entry that this voter has; a follower has applied it, a leader only what is committed
 	committed uint64      // at a leader, the version up to which a majority has all entries
 	entries   []logEntry  // at a leader, the last entries, at most maxUncommitted, some of them committed
 	// acknowledged is, at a leader, the version up to which each voter has all entries, by the voter's
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -10,10 +10,10 @@
 	c.advance(now)
 	defer c.deliverToSelf()
 	if len(checkpoint) > MaxCheckpointBytes {
-		return fmt.Errorf("%w: job %q, %d bytes, at most %d", ErrCheckpointTooLarge, job, len(checkpoint), MaxCheckpointBytes)
+		return fmt.Errorf("%w: job %q, checkpoint of %d bytes, expected at most %d", ErrCheckpointTooLarge, job, len(checkpoint), MaxCheckpointBytes)
 	}
 	if !c.IsOwner(now, job, token) {
-		return fmt.Errorf("%w: %q under token %d", ErrNotOwner, job, token)
+		return fmt.Errorf("%w: job %q under token %d", ErrNotOwner, job, token)
 	}
 	c.send(c.Leader(), storeCheckpoint{job: job, token: token, checkpointNumber: checkpointNumber, checkpoint: checkpoint}.encode())
 	return nil
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -49,18 +49,18 @@
 	c := r.checks
 	owner := fmt.Sprint(p.name, " ", p.incarnation)
 	if other, taken := c.ownerOf[grantID{name, token}]; taken && other != owner {
-		r.reportViolation("fencing token %d of %s is used by %s and by %s", token, name, other, owner)
+		r.reportViolation("fencing token %d of job %s is used by %s and by %s", token, name, other, owner)
 	}
 	c.ownerOf[grantID{name, token}] = owner
 	if token <= c.highestToken[name] {
-		r.reportViolation("%s starts %s under token %d, after token %d", owner, name, token, c.highestToken[name])
+		r.reportViolation("%s starts job %s under token %d, after a start under token %d", owner, name, token, c.highestToken[name])
 	}
 	c.highestToken[name] = max(c.highestToken[name], token)
 	if checkpointNumber < c.stored[name] {
-		r.reportViolation("%s starts %s from checkpoint %d, but checkpoint %d was acknowledged as stored", owner, name, checkpointNumber, c.stored[name])
+		r.reportViolation("%s starts job %s from checkpoint %d, but checkpoint %d was acknowledged as stored", owner, name, checkpointNumber, c.stored[name])
 	}
 	if checkpointNumber > 0 && string(checkpoint) != string(checkpointOf(checkpointNumber)) {
-		r.reportViolation("%s starts %s with %q as checkpoint %d", owner, name, checkpoint, checkpointNumber)
+		r.reportViolation("%s starts job %s with %q as the content of checkpoint %d", owner, name, checkpoint, checkpointNumber)
 	}
 }
 
@@ -83,7 +83,7 @@
 				continue
 			}
 			if other := owners[name]; other != "" {
-				r.reportViolation("%s and %s both own %s", other, p.name, name)
+				r.reportViolation("%s and %s both own job %s", other, p.name, name)
 			}
 			owners[name] = p.name
 		}
@@ -127,7 +127,7 @@
 	for i := range r.cfg.Jobs {
 		name := jobName(i)
 		if at, had := r.checks.lastOwnedAt[name]; !had || r.now-at > maxFinalOwnerGap {
-			r.reportViolation("%s has had no owner since %d ms", name, at/Ms)
+			r.reportViolation("job %s has had no owner since %d ms", name, at/Ms)
 		}
 	}
 }
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -74,8 +74,8 @@
 }
 
 // pause pauses a process for d, right after its jobs have checked their lease. When the process continues,
-// it sends the effects for which they checked, although the lease may have ended: only fencing protects
-// against these.
+// it sends the effects (messages of a job's owner) for which they checked, although the lease may have
+// ended: only fencing protects against these effects.
 func (r *Run) pause(p *process, d Time) {
 	if !r.awake(p) {
 		return
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// Fault is a fault in a plan.
+// Fault is a fault in a plan, the list of faults that a run injects.
 type Fault struct {
 	Kind               FaultKind
 	BeginsAt, Duration Time
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -32,7 +32,7 @@
 	nextTickAt  Time                              // in virtual time
 	pausedUntil Time                              // end of the pause in virtual time; 0 once the process has continued
 	jobs        map[string]*job                   // jobs that the process runs, by name
-	accepted    map[string]ownership.FencingToken // last effect applied, by job; kept for the checks
+	accepted    map[string]ownership.FencingToken // token of the last effect (message from the owner) applied, by job; kept for the checks
 
 	// What a paused process handles when it continues.
 	queue        []envelope // messages received during the pause
@@ -41,7 +41,7 @@
 
 // job is a job that a process runs, from Start to Stop.
 type job struct {
-	token, sequence uint64 // token of the grant, and number of the last effect, which is also that of its checkpoint
+	token, sequence uint64 // token of the grant, and number of the last effect; a checkpoint stored with that effect has the same number
 	nextStepAt      Time   // by the process's monotonic clock
 }
 
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -53,7 +53,7 @@
 
 // Stats counts what happened in a run. The checks of a run in which nothing happened mean nothing.
 type Stats struct {
-	AcceptedEffects    int    // effects accepted by receivers
+	AcceptedEffects    int    // effects (messages from a job's owner) accepted by receivers
 	RejectedEffects    int    // effects rejected as stale, as reported to their owners
 	JobStarts          int    // starts of jobs
 	Checkpoints        int    // checkpoints stored
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -89,7 +89,8 @@
 }
 
 // handleEffect handles an effect, a message by which a job's owner changes this process, and replies
-// with the verdict. Fencing: it applies only an effect that the fence accepts.
+// with the verdict. Fencing: it applies only an effect that the fence, this process's record of accepted
+// tokens, accepts.
 func (c *Core) handleEffect(from uint32, m effectMessage) {
 	verdict, highest := c.fence.Check(m.job, m.token)
 	switch verdict {
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -111,7 +111,7 @@
 }
 
 // RetryWaiting retries the requests that wait for a grant, and rejects those that have waited for
-// maxGrantWait. It runs with each reply and must also be called periodically.
+// maxGrantWait. ReplyReceived calls it; it must also be called periodically.
 func (c *Client) RetryWaiting() {
 	for _, finished := range c.retryWaiting() {
 		finished.done(finished.exceeded, finished.retryAfter)
--- a/internal/fleet/quota/message.go
+++ b/internal/fleet/quota/message.go
@@ -14,7 +14,7 @@
 // demand is what a proxy reports about one account.
 type demand struct {
 	account    string
-	permits    uint64 // expected new connections
+	permits    uint64 // expected new connections; each needs a permit
 	open       uint64 // open connections
 	additional uint64 // expected open connections in addition to the open ones
 }
@@ -22,7 +22,7 @@
 // grant is what a proxy may use of one account until the grant lapses.
 type grant struct {
 	account string
-	permits uint64 // new connections, in addition to earlier grants
+	permits uint64 // number of permits, for one new connection each, in addition to earlier grants
 	maxOpen uint64 // total open connections; replaces earlier grants
 }
 
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestGrantsFollowDemand guards against permits that stay at proxies without demand. The proxies
+// TestGrantsFollowDemand guards against permits (for one new connection each) that stay at proxies without demand. The proxies
 // with demand must get nearly the whole rate, first with nearly all demand at one proxy, then with
 // demand at all.
 func TestGrantsFollowDemand(t *testing.T) {
@@ -34,7 +34,7 @@
 }
 
 // TestProxyUsesFairShareWithoutIssuer checks that without an issuer all proxies together use the
-// account's whole rate, and that once there are new issuers, shares and grants together stay within
+// account's whole rate, each its share (an equal part), and that once there are new issuers, shares and grants together stay within
 // the limit and a burst.
 func TestProxyUsesFairShareWithoutIssuer(t *testing.T) {
 	f := newTestFleet(5, 2, map[string]Limit{"a": {Rate: 50, Connections: 100}})
--- a/internal/fleet/quota/usage.go
+++ b/internal/fleet/quota/usage.go
@@ -3,7 +3,7 @@
 // accountUsage holds what this proxy uses of one account, and what it may use.
 type accountUsage struct {
 	permits      []permitBatch // oldest first
-	share        shareBucket   // permits of the proxy's own share, while the issuer does not reply
+	share        shareBucket   // permits of the proxy's own share, an equal part of the limit, while the issuer does not reply
 	open         int           // open connections
 	maxOpen      int           // open connections that the issuer grants until maxOpenUntil
 	maxOpenUntil Time
@@ -12,7 +12,7 @@
 	demandHalvedAt Time // last time at which recentDemand was halved
 }
 
-// permitBatch holds the permits of one grant. Each batch lapses separately: if a later grant
+// permitBatch holds the permits of one grant, for one new connection each. Each batch lapses separately: if a later grant
 // prolonged it, unused permits could add up to more than the account's rate.
 type permitBatch struct {
 	count    int
