--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -42,10 +42,10 @@
 	ProbeInterval Time // time between two probes; zero means 200 ms
 	// ProbeTimeout is how long to wait for an answer before requesting indirect probes. Zero means 150 ms.
 	ProbeTimeout Time
-	// UnreachableAfter is the time after which a suspect (a member that answered neither direct
-	// nor indirect probes) becomes unreachable if no process has heard from it.
-	// The local health multiplier lengthens it, and a suspicion lasts at least minSuspicion. Zero means
-	// 2.3 s.
+	// UnreachableAfter is the time after which a suspect (a member that answered neither direct nor
+	// indirect probes) becomes unreachable if no process has heard from it. The local health multiplier,
+	// which rises while this process hears nobody, lengthens this time. A suspicion lasts at least
+	// minSuspicion, 250 ms and more with the fleet's size. Zero means 2.3 s.
 	UnreachableAfter Time
 	GoneAfter        Time   // how long a member must be unreachable before it is gone; zero means 10 s
 	Seed             uint64 // seed of the random numbers
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -21,7 +21,7 @@
 // observation collects the conclusions of the processes of a run. The victim is the process that Measure
 // kills.
 type observation struct {
-	diedAt        Time         // when the victim died; zero while it is alive
+	diedAt        Time         // when the victim died; zero while the victim is alive
 	alarms        map[int]bool // member IDs of living members that some process saw as unreachable or gone
 	detectedAfter map[int]Time // time from the death until a process saw the victim as unreachable or gone, by the number of that process
 }
@@ -35,14 +35,14 @@
 	f.Loss, f.SkipChecks = loss, true
 	victim := int(seed) % n
 	observed := observation{alarms: map[int]bool{}, detectedAfter: map[int]Time{}}
-	f.OnChange = func(at int, c membership.Change) {
+	f.OnChange = func(observer int, c membership.Change) {
 		if c.NewState != membership.Unreachable && c.NewState != membership.Gone {
 			return
 		}
 		if c.ID != membership.ID(Name(victim)) || observed.diedAt == 0 {
 			observed.alarms[int(c.ID)] = true
-		} else if _, known := observed.detectedAfter[at]; !known {
-			observed.detectedAfter[at] = f.now - observed.diedAt
+		} else if _, known := observed.detectedAfter[observer]; !known {
+			observed.detectedAfter[observer] = f.now - observed.diedAt
 		}
 	}
 	// In a large fleet it takes longer until all processes know each other.
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -33,7 +33,7 @@
 }
 
 // becomeFollower ends the leadership, if any, and the election. It drops the entries that are not
-// committed; this voter has not applied them as the leader.
+// committed: as the leader, this voter has not applied those entries.
 func (q *Quorum) becomeFollower() {
 	q.log.position = q.appliedPosition()
 	q.leader.epoch, q.candidate.ballot, q.log.entries = 0, 0, nil
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// Confirmed reports to the Core that the group has confirmed its leadership, if it exists yet.
+// Confirmed reports to the Core, if it exists yet, that the group has confirmed this process as the
+// leader.
 func (g groupEffects) Confirmed(tag uint64) {
 	if g.process.core != nil {
 		g.process.core.Confirmed(g.run.localTime(g.process), tag)
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -7,8 +7,8 @@
 
 const (
 	// A proxy without a query for this many grant lifetimes is silent, and its share is reserved. A new
-	// issuer waits as long before it grants anything, and a proxy as long after its last grant lapsed
-	// before it uses its share.
+	// issuer waits as long before it grants anything, and a proxy waits as long after its last grant
+	// lapsed before it uses its share.
 	silentAfterGrantLifetimes    = 2
 	forgottenAfterGrantLifetimes = 4                         // a proxy that has left the fleet is forgotten this many grant lifetimes after its last query
 	cleanupAccountCount          = 4 * maxAccountsPerMessage // once there are this many account records, those of accounts without limits are dropped
@@ -155,9 +155,9 @@
 }
 
 // grantedConnections returns how many connections a proxy may have open. capacity is the number
-// available to it, including those already open; limit is the account's connection limit. If the limit was reduced below the number of open connections, every proxy's
-// grant shrinks in proportion to its open connections. No connection is closed, but one that ends
-// is not replaced.
+// available to the proxy, including those already open; limit is the account's connection limit. If
+// the limit was reduced below the number of open connections, every proxy's grant shrinks in
+// proportion to its open connections. No connection is closed, but one that ends is not replaced.
 func grantedConnections(d demand, capacity, limit int) uint64 {
 	open := int(d.open)
 	if capacity < open {
