--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -14,8 +14,9 @@
 	maxIndirectProbes = 3
 	// requestedProbeTimeout is how long a probe on behalf of another member may take.
 	requestedProbeTimeout = 2 * sec
-	// turnsPerEndedProbe is the average number of turns of a slot per probe, while the slot's member has left
-	// or is gone. The slot is still probed, as a restarted process may be at its address.
+	// turnsPerEndedProbe is the average number of turns of a slot per probe, while the slot's
+	// member has left or is gone. The slot is still probed, as a restarted process may be at its
+	// address.
 	turnsPerEndedProbe = 8
 )
 
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -122,8 +122,9 @@
 	return elsewhere && now-m.HeardHere < c.cfg.UnreachableAfter && m.State == Alive
 }
 
-// handleOldIncarnation answers a datagram of an older incarnation with the incarnation known to this process. If
-// the sender is the current process, whose clock was set back, the answer makes it raise its incarnation.
+// handleOldIncarnation answers a datagram of an older incarnation with the incarnation known to
+// this process. If the sender is the current process, whose clock was set back, the answer makes it
+// raise its incarnation.
 func (c *Core) handleOldIncarnation(slot int, sender uint32) {
 	c.counts.OldIncarnation++
 	d := c.newDatagram()
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -13,8 +13,9 @@
 	// DetectionTime is the time from a death until 99 % of the survivors see the member as unreachable or
 	// gone, or -1 if that did not happen within the run.
 	DetectionTime Time
-	// FalseAlarms is the number of living members, per hour and in the whole fleet, that some process sees as
-	// unreachable or gone. A member counts only once in a run, however often it is seen so.
+	// FalseAlarms is the number of living members, per hour and in the whole fleet, that some
+	// process sees as unreachable or gone. A member counts only once in a run, however often it is
+	// seen so.
 	FalseAlarms float64
 }
 
@@ -26,10 +27,10 @@
 	detectedAfter map[int]Time // time from the death until a process saw the victim as unreachable or gone, by the number of that process
 }
 
-// Measure returns the cost of the failure detector of package membership in a fleet of n processes. loss
-// is the probability that a datagram is lost. After a warm-up, the fleet runs for duration without faults
-// other than this loss. Then the process with the number seed modulo n, the victim, dies, and the
-// fleet runs for another 15 s.
+// Measure returns the cost of the failure detector of package membership in a fleet of n processes.
+// loss is the probability that a datagram is lost. After a warm-up, the fleet runs for duration
+// without faults other than this loss. Then the process with the number seed modulo n, the victim,
+// dies, and the fleet runs for another 15 s.
 func Measure(n int, loss float64, duration Time, seed uint64) Cost {
 	f := New(n, seed, membership.Config{})
 	f.Loss, f.SkipChecks = loss, true
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -12,10 +12,10 @@
 )
 
 // The exploration is a model check of Quorum and Fence. It visits the states that their code can
-// reach with a bounded number of elections, renewals, restarts, clock steps and effects (messages of
-// the leader to a receiver), in every order. A state is called a world. There are three voters, two of which may be candidates, and a
-// receiver of their effects. A message that is never delivered counts as lost, so losses need no
-// step of their own.
+// reach with a bounded number of elections, renewals, restarts, clock steps and effects (messages
+// of the leader to a receiver), in every order. A state is called a world. There are three voters,
+// two of which may be candidates, and a receiver of their effects. A message that is never
+// delivered counts as lost, so losses need no step of their own.
 
 const (
 	quorumLease = 1500 * ms
--- a/internal/fleet/ownership/fence_test.go
+++ b/internal/fleet/ownership/fence_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// TestFence tests that a Fence accepts effects, the messages from a job's owner, in the order of their
-// fencing tokens only, and that a
-// rejected effect does not replace the latest accepted one.
+// TestFence tests that a Fence accepts effects, the messages from a job's owner, in the order of
+// their fencing tokens only, and that a rejected effect does not replace the latest accepted one.
 func TestFence(t *testing.T) {
 	var f Fence
 	for _, c := range []struct {
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -64,8 +64,9 @@
 }
 
 // handleLeaseGranted extends the lease. Lease: it counts from the request and is shortened by the
-// clock drift, so it ends at this process before it ends at the coordinator, however long the reply took.
-// handleLeaseGranted ignores a reply to another process of this name, to an unknown request or from an earlier epoch.
+// clock drift, so it ends at this process before it ends at the coordinator, however long the reply
+// took. handleLeaseGranted ignores a reply to another process of this name, to an unknown request
+// or from an earlier epoch.
 func (p *participant) handleLeaseGranted(from uint32, m leaseGranted) {
 	if m.incarnation != p.cfg.Incarnation {
 		return
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// acquire starts a listed job, or releases it at once if it must not start in this process. It returns false if
-// the job must wait for a lease.
+// acquire starts a listed job, or releases it at once if it must not start in this process. It
+// returns false if the job must wait for a lease.
 func (p *participant) acquire(j listedJob) bool {
 	if j.handover || p.leaving {
 		owned := &ownedJob{token: j.token, released: true, releaseText: textNotBegun}
@@ -192,8 +192,8 @@
 	return true
 }
 
-// handleCheckpointResult passes the result on to the job, unless this process no longer has the job under the
-// same token.
+// handleCheckpointResult passes the result on to the job, unless this process no longer has the job
+// under the same token.
 func (p *participant) handleCheckpointResult(m checkpointResult) {
 	if owned := p.jobs[m.job]; owned != nil && owned.token == m.token {
 		p.effects.CheckpointStored(m.job, m.token, m.checkpointNumber, m.stored)
@@ -203,9 +203,9 @@
 // handleEffectAck passes a receiver's verdict on to the job. The verdict Stale also stops the job.
 func (p *participant) handleEffectAck(from uint32, m effectAck) {
 	if owned := p.jobs[m.job]; m.verdict == Stale && owned != nil && owned.token == m.token.Token && !owned.released {
-		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release
-		// reports that owner's token to the coordinator. If the receiver's Fence, its record of accepted tokens, is full instead, the
-		// reported token is 0.
+		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The
+		// release reports that owner's token to the coordinator. If the receiver's Fence, its
+		// record of accepted tokens, is full instead, the reported token is 0.
 		owned.higherToken = m.highest.Token
 		p.release(m.job, owned, LaterTokenSeen, textLaterTokenSeen)
 	}
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -171,8 +171,9 @@
 	}
 }
 
-// handleLeaseAccepted counts the voters that have accepted the lease of a round. A majority elects this
-// voter or extends its lease. handleLeaseAccepted ignores replies to other epochs and to rounds no longer recorded.
+// handleLeaseAccepted counts the voters that have accepted the lease of a round. A majority elects
+// this voter or extends its lease. handleLeaseAccepted ignores replies to other epochs and to
+// rounds no longer recorded.
 func (q *Quorum) handleLeaseAccepted(from uint32, m leaseAccepted) {
 	isRenewal := m.epoch == q.leader.epoch
 	if m.epoch == 0 || m.epoch != q.candidate.ballot && !isRenewal || q.rounds.grants[m.round] == nil {
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -6,8 +6,8 @@
 )
 
 // Trace is called with each event of a run. name is the name of the process, or empty for a fault
-// that the simulation injects. args are key-value pairs, except for the events start, stop and fault, which
-// have values only. Trace does nothing by default; set it to debug a run.
+// that the simulation injects. args are key-value pairs, except for the events start, stop and
+// fault, which have values only. Trace does nothing by default; set it to debug a run.
 var Trace = func(now Time, name, event string, args []any) {}
 
 // groupEffects is what the replicated group of a simulated process calls to send messages, to report
--- a/internal/fleet/quota/query.go
+++ b/internal/fleet/quota/query.go
@@ -4,8 +4,8 @@
 
 // Step queries each shard's issuer with the demand of its accounts at this proxy, and retries the
 // waiting requests. Call it several times per grant lifetime. A proxy without demand sends queries
-// as well: for a proxy without queries, the issuer would reserve
-// a share, an equal part of each limit.
+// as well: for a proxy without queries, the issuer would reserve a share, an equal part of each
+// limit.
 func (c *Client) Step() {
 	for shard := range Shards {
 		c.query(shard, false)
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestGrantsFollowDemand guards against permits (for one new connection each) that stay at proxies without demand. The proxies
-// with demand must get nearly the whole rate, first with nearly all demand at one proxy, then with
-// demand at all.
+// TestGrantsFollowDemand guards against permits (for one new connection each) that stay at proxies
+// without demand. The proxies with demand must get nearly the whole rate, first with nearly all
+// demand at one proxy, then with demand at all.
 func TestGrantsFollowDemand(t *testing.T) {
 	f := newTestFleet(5, 1, map[string]Limit{"a": {Rate: 40}})
 	skewed := func(i int) float64 { return []float64{2, 0.02, 0, 0, 0}[i] }
@@ -34,8 +34,8 @@
 }
 
 // TestProxyUsesFairShareWithoutIssuer checks that without an issuer all proxies together use the
-// account's whole rate, each its share (an equal part), and that once there are new issuers, shares and grants together stay within
-// the limit and a burst.
+// account's whole rate, each its share (an equal part), and that once there are new issuers, shares
+// and grants together stay within the limit and a burst.
 func TestProxyUsesFairShareWithoutIssuer(t *testing.T) {
 	f := newTestFleet(5, 2, map[string]Limit{"a": {Rate: 50, Connections: 100}})
 	all := func(int) float64 { return 1 }
--- a/internal/fleet/quota/usage.go
+++ b/internal/fleet/quota/usage.go
@@ -12,8 +12,9 @@
 	demandHalvedAt Time // last time at which recentDemand was halved
 }
 
-// permitBatch holds the permits of one grant, for one new connection each. Each batch lapses separately: if a later grant
-// prolonged it, unused permits could add up to more than the account's rate.
+// permitBatch holds the permits of one grant, for one new connection each. Each batch lapses
+// separately: if a later grant prolonged it, unused permits could add up to more than the account's
+// rate.
 type permitBatch struct {
 	count    int
 	lapsesAt Time
