--- a/internal/fleet/membership/antientropy.go
+++ b/internal/fleet/membership/antientropy.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// sendView answers a request for a view from the member at slot with the next pages of this process's
-// view, which include its own entry, until one page holds the whole view or viewPages are sent.
+// sendView answers a request for a view from the member at slot, the number of an address, with the
+// next pages of this process's view, which include its own entry, until one page holds the whole
+// view or viewPages are sent.
 func (c *Core) sendView(slot int) {
 	for range viewPages {
 		d := c.newDatagram()
--- a/internal/fleet/membership/components_test.go
+++ b/internal/fleet/membership/components_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// TestProberRounds checks that each round probes each slot once except the process's own slot.
+// TestProberRounds checks that each round probes each slot (the number of an address) once, except
+// the process's own slot.
 func TestProberRounds(t *testing.T) {
 	p := newProber(rand.New(rand.NewPCG(1, 2)), 4, 1)
 	p.addSlot(4)
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -7,7 +7,7 @@
 
 // Effects is implemented by the caller of Core. Core calls it to send datagrams and to report changes.
 type Effects interface {
-	// Send sends a datagram to the address of slot. datagram is valid only during the call.
+	// Send sends a datagram to the address with the number slot. datagram is valid only during the call.
 	Send(slot int, datagram []byte)
 	// Changed is called after each change of a member's state and after each restart of a member.
 	Changed(c Change)
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -11,8 +11,9 @@
 // members in the view.
 func minSuspicion(members int) Time { return suspicionStep * Time(1+bits.Len(uint(members))) }
 
-// probeNext probes the next slot in turn, but skips most turns of members that have left or are gone.
-// It also probes slots at which no member is known, so that members find each other.
+// probeNext probes the next slot (number of an address) in turn, but skips most turns of members
+// that have left or are gone. It also probes slots at which no member is known, so that members
+// find each other.
 func (c *Core) probeNext() {
 	for range c.prober.slots {
 		slot := c.prober.nextSlot()
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -1,6 +1,7 @@
 package membership
 
-// handlePart handles one part of a datagram that the member from has sent from slot.
+// handlePart handles one part of a datagram that the member from has sent from slot, the
+// number of its address.
 func (c *Core) handlePart(from *member, slot int, p part) {
 	switch p.kind() {
 	case partPing:
@@ -40,7 +41,8 @@
 	c.send(slot, d)
 }
 
-// handleAck completes a probe. It reports the answer to the member that requested the probe, if there is one.
+// handleAck completes a probe. If another member requested the probe, handleAck reports the answer to
+// that member.
 func (c *Core) handleAck(from *member, sequence uint32) {
 	p := c.prober.completeProbe(sequence, from.ID)
 	if p == nil || p.requester == nil {
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -14,9 +14,9 @@
 	maxIndirectProbes = 3
 	// requestedProbeTimeout is how long a probe on behalf of another member may take.
 	requestedProbeTimeout = 2 * sec
-	// turnsPerEndedProbe is the average number of turns of a slot per probe, while the slot's
-	// member has left or is gone. The slot is still probed, as a restarted process may be at its
-	// address.
+	// turnsPerEndedProbe is the average number of turns of a slot (number of an address) per probe,
+	// while the slot's member has left or is gone. The slot is still probed, as a restarted process
+	// may be at its address.
 	turnsPerEndedProbe = 8
 )
 
@@ -42,10 +42,11 @@
 // probeRequester identifies the request of another member on whose behalf a probe is sent.
 type probeRequester struct {
 	slot     int    // slot of the requesting member
-	sequence uint32 // sequence number in its request
+	sequence uint32 // sequence number in the request
 }
 
-// prober determines which slot to probe next and records the outstanding probes.
+// prober determines which slot, the number of an address, to probe next and records the outstanding
+// probes.
 type prober struct {
 	rng          *rand.Rand
 	slots        []int             // in the order in which they are probed, shuffled for each round
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -39,13 +39,13 @@
 // ReceiveFrom learns if the datagram is well-formed and of this fleet.
 func (c *Core) ReceiveFrom(now Time, from netip.AddrPort, data []byte) error {
 	if _, _, err := decodeHeader(data, c.fleet); err != nil {
-		return c.Receive(now, -1, data) // returns the same error; an address that sends such datagrams gets no slot
+		return c.Receive(now, -1, data) // returns the same error; an address that sends such datagrams gets no slot (number)
 	}
 	return c.Receive(now, c.learnSlot(from), data)
 }
 
-// learnSlot returns the slot of an address, or -1 if all slots are in use. If it adds a slot, that slot is
-// probed in turn from then on.
+// learnSlot returns the slot of an address, the number assigned to it, or -1 if all slots are in
+// use. If it adds a slot, that slot is probed in turn from then on.
 func (c *Core) learnSlot(a netip.AddrPort) int {
 	slot, added := c.addresses.slotFor(a, &c.members)
 	if added {
--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if v := n.Core.Version(); v < n.version {
-		f.recordViolation("n%d: the version of the view is %d after %d", n.index, v, n.version)
+		f.recordViolation("n%d: the version of the view is %d after version %d", n.index, v, n.version)
 	} else {
 		n.version = v
 	}
--- a/internal/fleet/membership/simulation/fleet.go
+++ b/internal/fleet/membership/simulation/fleet.go
@@ -47,12 +47,12 @@
 	// OnChange, if not nil, is called with each change of the view of the process with the number at.
 	OnChange func(at int, c membership.Change)
 	// OnSend, if not nil, is called with each datagram before faults of the network apply. from is the
-	// number of the sender, and slot the receiver's slot at the sender.
+	// number of the sender, and slot the number that the sender uses for the receiver's address.
 	OnSend func(from, slot int, datagram []byte)
 	// SkipChecks disables the checks of invariants, which are most of the work in large fleets.
 	SkipChecks bool
 	// Seeds is the number of processes, from 0 on, whose addresses all processes know; they learn those
-	// of the others. Zero means that all slots are configured.
+	// of the others. Zero means that all addresses are configured.
 	Seeds     int
 	Violation string // description of the first violated invariant; empty if there is none
 
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -6,12 +6,12 @@
 type Member struct {
 	Name        string // empty if not known yet
 	ID          uint32
-	Slot        int // -1 if not known
+	Slot        int // number of the member's address; -1 if not known
 	State       State
 	Incarnation Incarnation
 	HeardHere   Time     // when this process last heard the member; zero if never
 	HeardByAny  Time     // when any process last heard the member; zero if never
-	Unheard     []uint32 // IDs of the members from which this one last reported to hear nothing
+	Unheard     []uint32 // IDs of the members that this member last reported not to hear
 	UnheardAt   Time     // when this member last reported Unheard; zero if never
 }
 
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -67,15 +67,15 @@
 	return u
 }
 
-// ownShareStart returns when this proxy starts to use its own share of an account:
+// ownShareStart returns when this proxy starts to use its own share of an account's limits:
 // silentAfterGrantLifetimes after the last grant lapses. By then the issuer has started to reserve
 // the share for this proxy, however late that grant arrived.
 func (c *Client) ownShareStart(account string) Time {
 	return c.shards[Shard(account)].grantsLapseAt + silentAfterGrantLifetimes*c.GrantLifetime
 }
 
-// usesOwnShare reports whether this proxy uses its own share of an account, because it has had no
-// valid grant of the issuer for silentAfterGrantLifetimes.
+// usesOwnShare reports whether this proxy uses its own share of an account's limits, because it has
+// had no valid grant of the issuer for silentAfterGrantLifetimes.
 func (c *Client) usesOwnShare(now Time, account string) bool { return now >= c.ownShareStart(account) }
 
 // Acquire reserves one more connection of an account. It calls done exactly once: with "" if the
