--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -29,8 +29,8 @@
 	// Incarnation is made from the start time of this process. A successor under the same name joins
 	// with a newer one.
 	Incarnation Incarnation
-	Slots       int // number of slots, the addresses at which members may be
-	OwnSlot     int // index of this process's slot, from 0; -1 if it has none
+	Slots       int // count of slots; a slot is the index, from 0, of an address at which a member may be
+	OwnSlot     int // slot of this process; -1 if it has none
 	// Seeds are the addresses of some members. If set, Slots and OwnSlot are ignored and the addresses of
 	// the other members are learnt, so that members may come and go.
 	Seeds []netip.AddrPort
