--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -37,8 +37,7 @@
 	return l
 }
 
-// start runs l until the test ends, and then waits until l has stopped: two loops must not use the
-// process's one poller.
+// start runs l until the test ends, then awaits l's stop: no two loops may use the process's one poller.
 func start(t *testing.T, l *Loop) {
 	t.Helper()
 	go l.Run()
@@ -171,8 +170,7 @@
 	}
 }
 
-// A cancelled dial does not call done, a refused dial reports the refusal, and an established connection
-// delivers input.
+// A cancelled dial does not call done, a refused one reports the refusal, an established one delivers input.
 func TestDial(t *testing.T) {
 	l, addr, _ := serve(t, func(c *Conn) { c.Write(c.Input()); c.Consume(len(c.Input())) })
 	d := NewDialer(l, 4)
@@ -198,8 +196,7 @@
 	}
 }
 
-// Dials to an address that does not answer must not occupy all goroutines of the dialer, so that dials to
-// other addresses start.
+// Dials to an address that does not answer must leave goroutines of the dialer to dials to other addresses.
 func TestVanishedHostLeavesDialers(t *testing.T) {
 	d := &Dialer{loop: NewLoop(), dialsPerAddress: map[string]int{"vanished": 1}, maxPerAddress: 1}
 	for _, addr := range []string{"vanished", "vanished", "alive"} {
